--- a/crates/lemoncleat-circuits/benches/selection.rs
+++ b/crates/lemoncleat-circuits/benches/selection.rs
@@ -1,4 +1,4 @@
-//! Choosing an idle circuit against a plain scan, by size and busy share.
+//! Compares the selection of an idle circuit with a linear scan, by group size and share of busy circuits.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -6,21 +6,21 @@
 use lemoncleat_circuits::glare::Control;
 use lemoncleat_circuits::{Event, Group, GroupSettings, Order, Selector, Timers};
 
-const ROUNDS: usize = 200_000;
+const ITERATIONS: usize = 200_000;
 
-fn time(rounds: usize, mut run: impl FnMut()) -> f64 {
+fn measure_ns(iterations: usize, mut operation: impl FnMut()) -> f64 {
     let runs = (0..5).map(|_| {
         let start = Instant::now();
-        for _ in 0..rounds {
-            run();
+        for _ in 0..iterations {
+            operation();
         }
-        start.elapsed().as_secs_f64() * 1e9 / rounds as f64
+        start.elapsed().as_secs_f64() * 1e9 / iterations as f64
     });
     runs.fold(f64::INFINITY, f64::min)
 }
 
-/// A call's whole life on a circuit, both ends: seize, accept, release, done.
-fn lives(size: u32) {
+/// Measures a complete call at both ends: seizure, acceptance, release and reply.
+fn measure_calls(size: u32) {
     let settings = |control| GroupSettings {
         size,
         order: Order::OwnFirst,
@@ -31,10 +31,11 @@
     let mut ends = [Group::new(settings(Control::Even), 0, 1), Group::new(settings(Control::Odd), 0, 2)];
     let mut call = 0;
     let mut out = Vec::new();
-    let life = time(ROUNDS, || {
+    let call_time = measure_ns(ITERATIONS, || {
         call += 1;
         let Some(circuit) = ends[0].seize(0, call, false, &mut out) else { return };
-        // Messages go to and fro until there are none; an offered call is accepted, one that stands released.
+        // Messages are exchanged until none is left; an offered call is accepted, an established one
+        // released.
         let mut from = 0;
         while !out.is_empty() {
             let mut next = Vec::new();
@@ -56,33 +57,33 @@
         }
     });
     println!(
-        "{size:>7} circuits: a call's life at both ends {life:.0} ns, {:.2} million a second",
-        1e3 / life
+        "{size:>7} circuits: complete call at both ends {call_time:.0} ns, {:.2} million calls/s",
+        1e3 / call_time
     );
 }
 
 fn main() {
-    println!("choose a circuit, seize it, and free one that was seized long ago; ns, least of 5 runs");
+    println!("select and seize a circuit, then free the one seized first; ns, minimum of 5 runs");
     for size in [30u32, 1_000, 100_000] {
         for busy in [0.1, 0.9, 0.999] {
-            let taken = ((f64::from(size) * busy) as u32).min(size - 1).max(1);
-            let mut plain: Vec<bool> = (0..size).map(|circuit| circuit >= taken).collect();
-            let mut queue: std::collections::VecDeque<u32> = (0..taken).collect();
-            let scan = time(if size > 1_000 { 2_000 } else { ROUNDS }, || {
-                if let Some(circuit) = black_box(&plain).iter().position(|idle| *idle) {
-                    plain[circuit] = false;
+            let busy_count = ((f64::from(size) * busy) as u32).min(size - 1).max(1);
+            let mut idle_flags: Vec<bool> = (0..size).map(|circuit| circuit >= busy_count).collect();
+            let mut queue: std::collections::VecDeque<u32> = (0..busy_count).collect();
+            let scan = measure_ns(if size > 1_000 { 2_000 } else { ITERATIONS }, || {
+                if let Some(circuit) = black_box(&idle_flags).iter().position(|idle| *idle) {
+                    idle_flags[circuit] = false;
                     queue.push_back(circuit as u32);
                 }
                 if let Some(freed) = queue.pop_front() {
-                    plain[freed as usize] = true;
+                    idle_flags[freed as usize] = true;
                 }
             });
             print!("{size:>7} circuits, {:>5.1}% busy: scan {scan:>8.0}", busy * 100.0);
             for order in Order::ALL {
                 let mut selector = Selector::new(order, size, Some(0));
-                (taken..size).for_each(|circuit| selector.insert(circuit));
-                let mut queue: std::collections::VecDeque<u32> = (0..taken).collect();
-                let own = time(ROUNDS, || {
+                (busy_count..size).for_each(|circuit| selector.insert(circuit));
+                let mut queue: std::collections::VecDeque<u32> = (0..busy_count).collect();
+                let indexed = measure_ns(ITERATIONS, || {
                     if let Some(circuit) = selector.choose() {
                         selector.remove(circuit);
                         queue.push_back(circuit);
@@ -91,10 +92,10 @@
                         selector.insert(freed);
                     }
                 });
-                print!("  {order:?} {own:.0} ({:.1}x)", scan / own);
+                print!("  {order:?} {indexed:.0} ({:.1}x)", scan / indexed);
             }
             println!();
         }
     }
-    [30, 1_000, 100_000].into_iter().for_each(lives);
+    [30, 1_000, 100_000].into_iter().for_each(measure_calls);
 }
--- a/crates/lemoncleat-circuits/src/audit.rs
+++ b/crates/lemoncleat-circuits/src/audit.rs
@@ -1,21 +1,22 @@
-//! Which differences between two ends of a group are mended. Decisions only.
+//! Decides which differences between the two ends of a trunk group are repaired; [`Group`](crate::Group)
+//! carries the repairs out.
 //!
-//! A circuit is touched only if two looks in a row show the same difference while its seizure has not changed in
-//! between, nor between the question and the answer of either look. A seizure that is under way changes the
-//! generation or shows as transient, so that no audit touches it.
+//! A circuit is repaired only if two consecutive audits observe the same difference and the circuit's state
+//! has not changed between them, nor between the query and the answer of either. A seizure in progress
+//! changes the generation or is reported as transient, so no audit interferes with it.
 
 use crate::group::State;
-use crate::message::FarState;
+use crate::message::ReportedState;
 use crate::Micros;
 
-/// How a group is audited.
+/// Settings of the audits of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Audits {
-    /// Time for one round over the whole group.
+    /// Time for one audit of the whole group.
     pub round: Micros,
-    /// Circuits asked for at once.
+    /// Number of circuits in one query.
     pub slice: u32,
-    /// Shortest time between two questions, whatever the size of the group.
+    /// Minimum time between two queries, whatever the size of the group.
     pub gap: Micros,
 }
 
@@ -26,76 +27,82 @@
 }
 
 impl Audits {
-    /// Time between two questions for a group of a size.
-    pub fn pace(&self, size: u32) -> Micros {
+    /// Returns the time between two queries for a group of `size` circuits.
+    pub fn query_interval(&self, size: u32) -> Micros {
         let slices = i64::from(size.div_ceil(self.slice.max(1)).max(1));
         (self.round / slices).max(self.gap)
     }
 }
 
-/// How the two ends differ about a circuit.
+/// How the two ends differ in the state of a circuit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Difference {
-    /// Busy here, idle there.
+    /// Busy at this end, idle at the other.
     OnlyHere,
-    /// Idle here, busy there.
+    /// Idle at this end, busy at the other.
     OnlyThere,
-    /// Both take the call for their own, or neither does.
+    /// Both ends, or neither, regard the call as set up by themselves.
     Direction,
-    /// There is no such circuit there.
+    /// The circuit does not exist at the other end.
     Unequipped,
 }
 
-/// What differs, if anything. A state between two others differs from nothing.
-pub fn compare(here: State, there: FarState) -> Option<Difference> {
-    if there == FarState::Unequipped {
+/// Returns the difference between the two states, if any. Transient states never count as different.
+pub fn compare(local: State, reported: ReportedState) -> Option<Difference> {
+    if reported == ReportedState::Unequipped {
         return Some(Difference::Unequipped);
     }
-    if here.is_transient() || there == FarState::Transient {
+    if local.is_transient() || reported == ReportedState::Transient {
         return None;
     }
-    match (here, there) {
-        (State::Idle, FarState::Idle) => None,
-        (State::Outgoing(_), FarState::Incoming) | (State::Incoming(_), FarState::Outgoing) => None,
+    match (local, reported) {
+        (State::Idle, ReportedState::Idle) => None,
+        (State::Outgoing(_), ReportedState::Incoming) | (State::Incoming(_), ReportedState::Outgoing) => None,
         (State::Idle, _) => Some(Difference::OnlyThere),
-        (_, FarState::Idle) => Some(Difference::OnlyHere),
+        (_, ReportedState::Idle) => Some(Difference::OnlyHere),
         _ => Some(Difference::Direction),
     }
 }
 
-/// What the last look at a circuit showed.
+/// A difference observed by an audit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Look {
-    /// The difference.
+pub struct Observation {
+    /// The difference observed.
     pub difference: Difference,
-    /// The circuit's generation.
+    /// The circuit's generation at the time.
     pub generation: u32,
 }
 
-/// What to do about a circuit after a look.
+/// The action to take on a circuit after an audit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The two agree: forget an earlier look.
+    /// The ends agree: discard any earlier observation.
     Agree,
-    /// They differ for the first time: remember.
-    Remember(Look),
-    /// They still differ, and nothing has moved: mend it.
-    Mend(Difference),
+    /// The ends differ for the first time: keep the observation.
+    Remember(Observation),
+    /// The ends still differ and the circuit has not changed in between: repair it.
+    Repair(Difference),
 }
 
-/// Judges one circuit: its state and generation when the question was sent and when the answer came, and what the
-/// look before showed.
-pub fn judge(asked: u32, now: (State, u32), there: FarState, before: Option<Look>) -> Verdict {
-    let (here, generation) = now;
-    if asked != generation {
-        return Verdict::Agree; // It moved meanwhile: the answer may be older than the state.
+/// Evaluates the audit of one circuit. `generation_at_query` is its generation when the query was sent,
+/// `current` its state and generation when the answer arrived, `reported` the state at the other end, and
+/// `previous` the observation of the audit before.
+pub fn evaluate(
+    generation_at_query: u32,
+    current: (State, u32),
+    reported: ReportedState,
+    previous: Option<Observation>,
+) -> Verdict {
+    let (local, generation) = current;
+    if generation_at_query != generation {
+        return Verdict::Agree; // Changed since the query: the answer may be outdated.
     }
-    let Some(difference) = compare(here, there) else { return Verdict::Agree };
-    let look = Look { difference, generation };
-    if before == Some(look) {
-        Verdict::Mend(difference)
+    let Some(difference) = compare(local, reported) else { return Verdict::Agree };
+    let observation = Observation { difference, generation };
+    if previous == Some(observation) {
+        Verdict::Repair(difference)
     } else {
-        Verdict::Remember(look)
+        Verdict::Remember(observation)
     }
 }
 
@@ -104,40 +111,45 @@
     use super::*;
 
     #[test]
-    fn one_look_is_never_enough_and_any_movement_starts_anew() {
-        let here = (State::Outgoing(5), 7);
-        let Verdict::Remember(look) = judge(7, here, FarState::Idle, None) else { panic!("a first look") };
-        assert_eq!(judge(7, here, FarState::Idle, Some(look)), Verdict::Mend(Difference::OnlyHere));
+    fn repairs_only_after_two_equal_observations_without_a_state_change() {
+        let local = (State::Outgoing(5), 7);
+        let Verdict::Remember(observation) = evaluate(7, local, ReportedState::Idle, None) else {
+            panic!("a first observation")
+        };
         assert_eq!(
-            judge(6, here, FarState::Idle, Some(look)),
+            evaluate(7, local, ReportedState::Idle, Some(observation)),
+            Verdict::Repair(Difference::OnlyHere)
+        );
+        assert_eq!(
+            evaluate(6, local, ReportedState::Idle, Some(observation)),
             Verdict::Agree,
-            "moved between question and answer"
+            "changed between query and answer"
         );
-        let moved = (State::Outgoing(6), 8);
+        let changed = (State::Outgoing(6), 8);
         assert!(
-            matches!(judge(8, moved, FarState::Idle, Some(look)), Verdict::Remember(_)),
-            "moved between looks"
+            matches!(evaluate(8, changed, ReportedState::Idle, Some(observation)), Verdict::Remember(_)),
+            "changed between audits"
         );
-        assert_eq!(judge(7, here, FarState::Incoming, Some(look)), Verdict::Agree);
-        let other = judge(7, here, FarState::Outgoing, Some(look));
-        assert!(matches!(other, Verdict::Remember(_)), "another difference");
+        assert_eq!(evaluate(7, local, ReportedState::Incoming, Some(observation)), Verdict::Agree);
+        let verdict = evaluate(7, local, ReportedState::Outgoing, Some(observation));
+        assert!(matches!(verdict, Verdict::Remember(_)), "a different difference");
     }
 
     #[test]
-    fn what_is_under_way_differs_from_nothing() {
+    fn transient_states_never_differ() {
         for state in [State::Seizing(1), State::Arriving(1), State::Releasing(1), State::Resetting] {
-            for there in [FarState::Idle, FarState::Outgoing, FarState::Incoming] {
-                assert_eq!(compare(state, there), None);
+            for reported in [ReportedState::Idle, ReportedState::Outgoing, ReportedState::Incoming] {
+                assert_eq!(compare(state, reported), None);
             }
         }
-        assert_eq!(compare(State::Idle, FarState::Transient), None);
+        assert_eq!(compare(State::Idle, ReportedState::Transient), None);
     }
 
     #[test]
-    fn the_pace_covers_the_group_in_a_round_and_never_exceeds_the_rate() {
+    fn query_interval_covers_the_group_in_one_round_and_respects_the_minimum_gap() {
         let audits = Audits { round: 10_000_000, slice: 100, gap: 10_000 };
-        assert_eq!(audits.pace(30), 10_000_000);
-        assert_eq!(audits.pace(1_000), 1_000_000);
-        assert_eq!(audits.pace(100_000_000), 10_000);
+        assert_eq!(audits.query_interval(30), 10_000_000);
+        assert_eq!(audits.query_interval(1_000), 1_000_000);
+        assert_eq!(audits.query_interval(100_000_000), 10_000);
     }
 }
--- a/crates/lemoncleat-circuits/src/glare.rs
+++ b/crates/lemoncleat-circuits/src/glare.rs
@@ -1,22 +1,24 @@
-//! Dual seizure (Q.764 section 2.9.1): who yields, and what becomes of the call that did. Decisions only.
+//! Dual seizure (Q.764 section 2.9.1): which end yields, and how the call that yielded is retried. The
+//! functions only decide; the caller acts.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 
 use crate::{CircuitId, Micros};
 
-/// Which circuits an end controls: at a dual seizure the controlling end's call goes on.
+/// The circuits that an end controls. At a dual seizure the call of the controlling end proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Control {
-    /// Those of even number.
+    /// The even-numbered circuits.
     Even,
-    /// Those of odd number.
+    /// The odd-numbered circuits.
     Odd,
 }
 
 impl Control {
-    /// Q.764 section 2.9.1.4: the end with the higher signalling point code controls the even circuits. Here the
-    /// Origin-Hosts are compared, as octets.
+    /// Returns the control of the end named `own`. By Q.764 section 2.9.1.4 the end with the higher
+    /// signalling point code controls the even circuits; the Origin-Hosts, compared as octets, stand in for
+    /// point codes.
     pub fn by_identity(own: &str, other: &str) -> Control {
         if own.as_bytes() > other.as_bytes() {
             Control::Even
@@ -25,12 +27,12 @@
         }
     }
 
-    /// Whether an end with this control controls a circuit.
-    pub fn has(self, circuit: CircuitId) -> bool {
+    /// Returns whether an end with this control controls `circuit`.
+    pub fn controls(self, circuit: CircuitId) -> bool {
         circuit % 2 == self.parity()
     }
 
-    /// The parity of its circuits.
+    /// Returns the parity of the controlled circuits: 0 for even, 1 for odd.
     pub fn parity(self) -> u32 {
         match self {
             Control::Even => 0,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// What the other end must have.
+    /// Returns the control that the other end must have.
     pub fn opposite(self) -> Control {
         match self {
             Control::Even => Control::Odd,
@@ -47,12 +49,12 @@
     }
 }
 
-/// How often and how a call that yielded is tried again on another circuit.
+/// How often, and after which delays, a call that yielded is retried on another circuit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Repeats {
-    /// Most repeats of one call.
+    /// Maximum number of retries of one call.
     pub most: u32,
-    /// The first wait after the second dual seizure of a call; it doubles.
+    /// Upper bound of the delay after the second dual seizure of a call; it doubles with each further one.
     pub first_wait: Micros,
 }
 
@@ -62,20 +64,23 @@
     }
 }
 
-/// What becomes of a call that yielded.
+/// How a call that yielded proceeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// Seize another circuit now, in the usual order.
+    /// Seize another circuit at once, in the configured order.
     Again,
-    /// Seize another circuit, away from where the other end takes its own, after a wait.
+    /// Seize another circuit after this delay, far from those that the other end selects.
     Away(Micros),
-    /// Give up: the group is as good as full.
+    /// Give up; the call is treated as if the group had no idle circuit.
     GiveUp,
 }
 
-/// What becomes of a call that has yielded so often, if so much time is left to it. The first repeat is made at
-/// once (Q.764 has an automatic repeat attempt); when that meets the other end as well, both are in step, and
-/// changing the order and a wait by chance takes them apart.
+/// Decides how a call proceeds that has yielded `yields` times and has `left` microseconds until its
+/// deadline.
+///
+/// The first retry is immediate (the automatic repeat attempt of Q.764). If that collides as well, both ends
+/// are selecting in lockstep; later retries select from the other side of the order after a random delay to
+/// desynchronise them.
 pub fn after_yield(yields: u32, left: Micros, repeats: Repeats, rng: &mut SmallRng) -> Next {
     if yields == 0 || yields > repeats.most || left <= 0 {
         return Next::GiveUp;
@@ -83,8 +88,8 @@
     if yields == 1 {
         return Next::Again;
     }
-    let full = repeats.first_wait.saturating_mul(1 << (yields - 2).min(20)).max(1);
-    let wait = rng.random_range(0..=full);
+    let max_wait = repeats.first_wait.saturating_mul(1 << (yields - 2).min(20)).max(1);
+    let wait = rng.random_range(0..=max_wait);
     if wait >= left {
         Next::GiveUp
     } else {
@@ -103,12 +108,12 @@
             (Control::by_identity("a.example", "b.example"), Control::by_identity("b.example", "a.example"));
         assert_eq!(a.opposite(), b);
         for circuit in 0..10 {
-            assert!(a.has(circuit) != b.has(circuit));
+            assert!(a.controls(circuit) != b.controls(circuit));
         }
     }
 
     #[test]
-    fn repeats_are_bounded_in_number_and_time_and_drift_apart() {
+    fn retries_are_bounded_in_number_and_time_and_randomly_delayed() {
         let mut rng = SmallRng::seed_from_u64(1);
         let repeats = Repeats::default();
         assert_eq!(after_yield(1, 1_000, repeats, &mut rng), Next::Again);
--- a/crates/lemoncleat-circuits/src/group/mod.rs
+++ b/crates/lemoncleat-circuits/src/group/mod.rs
@@ -1,4 +1,4 @@
-//! One end of a trunk group: the states of its circuits.
+//! One end of a trunk group: the states of its circuits and the requests that await replies.
 
 use std::collections::BTreeSet;
 
@@ -6,24 +6,24 @@
 use rand::{Rng, SeedableRng};
 use rustc_hash::FxHashMap;
 
-use crate::audit::{self, Audits, Difference, Look};
+use crate::audit::{self, Audits, Difference, Observation};
 use crate::glare::Control;
-use crate::message::{Blocks, FarState, Range, Refusal, Reply, Request, Token};
+use crate::message::{Blocks, Range, Refusal, Reply, ReportedState, Request, Token};
 use crate::selection::{Order, Selector};
 use crate::{CallRef, CircuitId, Micros};
 
-/// Waits, in terms of Q.764's timers.
+/// Durations of the timers; the corresponding timers of Q.764 are given in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timers {
-    /// A seizure without a reply is lost after this (T7).
+    /// Time after which a seizure without a reply is considered lost and its circuit is released (T7).
     pub seize: Micros,
-    /// A release without a reply is sent again after this (T1).
+    /// Interval at which a release without a reply is retransmitted (T1).
     pub release: Micros,
-    /// After so many releases the circuit is reset (T5).
+    /// Number of releases without a reply after which the circuit is reset (T5).
     pub releases: u32,
-    /// A reset, block or unblock without a reply is sent again after this (T16, T12, T14).
+    /// Interval at which a reset, block or unblock without a reply is retransmitted at first (T16, T12, T14).
     pub again: Micros,
-    /// After five of those, after this (T17, T13, T15).
+    /// Interval after five transmissions (T17, T13, T15).
     pub seldom: Micros,
 }
 
@@ -33,93 +33,94 @@
     }
 }
 
-/// What one end of a group is told.
+/// Settings of one end of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupSettings {
-    /// Its circuits, 100,000 at most.
+    /// Number of circuits, at most 100,000.
     pub size: u32,
-    /// Which idle circuit is seized next.
+    /// Order in which idle circuits are seized.
     pub order: Order,
-    /// Which circuits this end controls.
+    /// The circuits that this end controls at a dual seizure.
     pub control: Control,
-    /// Waits.
+    /// Timer durations.
     pub timers: Timers,
-    /// Audits; `None` for none.
+    /// Audit settings; `None` disables audits.
     pub audits: Option<Audits>,
 }
 
-/// Most circuits of a group.
-const MOST: u32 = 100_000;
+/// Maximum number of circuits in a group.
+const MAX_CIRCUITS: u32 = 100_000;
 
-/// A circuit's state at one end.
+/// The state of a circuit at one end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
     /// Not in use.
     Idle,
-    /// Seized from here, not accepted yet.
+    /// Seized by this end, not accepted yet.
     Seizing(CallRef),
-    /// Seized from there, not accepted yet.
+    /// Seized by the other end, not accepted yet.
     Arriving(CallRef),
     /// Busy with a call of this end.
     Outgoing(CallRef),
     /// Busy with a call of the other end.
     Incoming(CallRef),
-    /// Released from here; the other end has not said so yet.
+    /// Released by this end, not confirmed by the other end yet.
     Releasing(CallRef),
-    /// Reset from here; the other end has not said so yet.
+    /// Reset by this end, not confirmed by the other end yet.
     Resetting,
 }
 
 impl State {
-    /// Between two lasting states.
+    /// Returns whether the state is a transition between two stable states.
     pub fn is_transient(self) -> bool {
         matches!(self, State::Seizing(_) | State::Arriving(_) | State::Releasing(_) | State::Resetting)
     }
 }
 
-/// What an end asks for, or tells.
+/// An action for the caller to carry out, or a notification to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Send a request, or send it again.
+    /// Send or retransmit a request.
     Send(Token, Request),
     /// Send a reply.
     Reply(Token, Reply),
-    /// The other end seized a circuit for a call of its own: accept or refuse it.
+    /// The other end seized a circuit for a call; the caller accepts or releases it.
     Offered(CircuitId, CallRef),
     /// The other end accepted a call of this end.
     Stands(CircuitId, CallRef),
-    /// It refused one, for another reason than glare.
+    /// The other end refused a call of this end for a reason other than glare.
     Refused(CircuitId, CallRef, Refusal),
-    /// A call of this end lost its circuit to the other end's; it never ran there.
+    /// A call of this end yielded its circuit at a dual seizure; it was not established at the other end.
     Yielded(CircuitId, CallRef),
-    /// A seizure stayed without a reply.
+    /// A seizure got no reply in time.
     Lost(CircuitId, CallRef),
     /// The other end released a call; the flag tells whether this end had set it up.
     Ended(CircuitId, CallRef, bool),
-    /// A call is over because its circuit was reset, failed or mended.
+    /// A call was cleared because its circuit was reset, failed or was repaired by an audit; the flag tells
+    /// whether this end had set it up.
     Cut(CircuitId, CallRef, bool),
-    /// The ends do not agree about who controls a circuit.
+    /// The two ends disagree about which of them controls a circuit.
     Dispute(CircuitId),
-    /// An audit mended a circuit.
+    /// An audit repaired a circuit.
     Mended(CircuitId, Difference),
 }
 
-/// How many circuits are in which state.
+/// Number of circuits by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// All.
+    /// All circuits.
     pub size: u32,
-    /// Idle and not blocked.
+    /// Circuits that are idle and not blocked.
     pub free: u32,
-    /// Idle.
+    /// Idle circuits, blocked or not.
     pub idle: u32,
-    /// With calls of this end.
+    /// Circuits busy with calls of this end.
     pub outgoing: u32,
-    /// With calls of the other end.
+    /// Circuits busy with calls of the other end.
     pub incoming: u32,
-    /// Between two states.
+    /// Circuits that are changing state.
     pub transient: u32,
-    /// Blocked at either end.
+    /// Circuits blocked at either end.
     pub blocked: u32,
 }
 
@@ -129,25 +130,25 @@
     generation: u32,
     local: Blocks,
     remote: Blocks,
-    look: Option<Look>,
-    /// The token of the own request that its state waits for.
+    last_observation: Option<Observation>,
+    /// Token of the own request whose reply the current state awaits.
     token: Token,
-    /// The token of the other end's seizure, and the reply that it got.
-    theirs: Token,
-    replied: Option<Reply>,
-    /// The last reset that was carried out here.
-    reset: Option<Token>,
-    /// The call that is being released was set up here.
-    own: bool,
+    /// Token of the other end's seizure; `seizure_reply` is the reply sent to it.
+    seizure_token: Token,
+    seizure_reply: Option<Reply>,
+    /// Token of the last reset by the other end that was carried out.
+    last_reset: Option<Token>,
+    /// Whether the call being released was set up by this end.
+    outgoing: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Pending {
     request: Request,
-    due: Micros,
+    due_at: Micros,
     sent: u32,
-    /// A seizure that lost its circuit meanwhile.
-    dropped: bool,
+    /// Whether this is a seizure whose call has given up its circuit before the reply.
+    abandoned: bool,
 }
 
 /// One end of a trunk group.
@@ -157,31 +158,32 @@
     circuits: Vec<Circuit>,
     selector: Selector,
     pending: FxHashMap<Token, Pending>,
-    due: BTreeSet<(Micros, Token)>,
-    next: Token,
-    cursor: CircuitId,
+    deadlines: BTreeSet<(Micros, Token)>,
+    next_token: Token,
+    audit_cursor: CircuitId,
     audit_at: Option<Micros>,
-    /// The one question that is out, and the generations when it was sent.
-    asked: Option<(Token, Range, Vec<u32>)>,
+    /// The audit query awaiting its answer: token, range, and the generations of the circuits when it was
+    /// sent.
+    audit_query: Option<(Token, Range, Vec<u32>)>,
 }
 
 impl Group {
-    /// A group with all circuits idle. Tokens begin at a number drawn from the seed, so that those of an
-    /// earlier life are not taken for new ones.
+    /// Creates a group with all circuits idle. Tokens start at a number drawn from the seed, so that requests
+    /// sent before a restart are not mistaken for new ones.
     pub fn new(settings: GroupSettings, now: Micros, seed: u64) -> Group {
-        let settings = GroupSettings { size: settings.size.min(MOST), ..settings };
+        let settings = GroupSettings { size: settings.size.min(MAX_CIRCUITS), ..settings };
         let mut rng = SmallRng::seed_from_u64(seed);
         let idle = Circuit {
             state: State::Idle,
             generation: 0,
             local: Blocks::default(),
             remote: Blocks::default(),
-            look: None,
+            last_observation: None,
             token: 0,
-            theirs: 0,
-            replied: None,
-            reset: None,
-            own: false,
+            seizure_token: 0,
+            seizure_reply: None,
+            last_reset: None,
+            outgoing: false,
         };
         let mut selector = Selector::new(settings.order, settings.size, Some(settings.control.parity()));
         (0..settings.size).for_each(|circuit| selector.insert(circuit));
@@ -189,36 +191,36 @@
             circuits: vec![idle; settings.size as usize],
             selector,
             pending: FxHashMap::default(),
-            due: BTreeSet::new(),
-            next: rng.random::<u32>() | 1,
-            cursor: 0,
-            audit_at: settings.audits.map(|audits| now + audits.pace(settings.size)),
-            asked: None,
+            deadlines: BTreeSet::new(),
+            next_token: rng.random::<u32>() | 1,
+            audit_cursor: 0,
+            audit_at: settings.audits.map(|audits| now + audits.query_interval(settings.size)),
+            audit_query: None,
             settings,
         }
     }
 
-    /// Its settings.
+    /// Returns the settings of the group.
     pub fn settings(&self) -> &GroupSettings {
         &self.settings
     }
 
-    /// A circuit's state; `None` beyond the group.
+    /// Returns the state of a circuit; `None` if the group has no such circuit.
     pub fn state(&self, circuit: CircuitId) -> Option<State> {
         self.circuits.get(circuit as usize).map(|circuit| circuit.state)
     }
 
-    /// A circuit's blocks, set here and there.
+    /// Returns the blocks on a circuit, set by this end and by the other end.
     pub fn blocks(&self, circuit: CircuitId) -> Option<(Blocks, Blocks)> {
         self.circuits.get(circuit as usize).map(|circuit| (circuit.local, circuit.remote))
     }
 
-    /// Circuits that may be seized.
+    /// Returns the number of circuits that may be seized.
     pub fn free(&self) -> usize {
         self.selector.len()
     }
 
-    /// How many circuits are in which state. It looks at each.
+    /// Counts circuits by state, in time linear in the size of the group.
     pub fn counts(&self) -> Counts {
         let mut counts =
             Counts { size: self.settings.size, free: self.selector.len() as u32, ..Counts::default() };
@@ -234,42 +236,42 @@
         counts
     }
 
-    /// Requests that wait for their reply.
+    /// Returns the number of requests that await a reply.
     pub fn waiting(&self) -> usize {
         self.pending.len()
     }
 
-    /// When to call [`Group::timeout`].
+    /// Returns the time at which to call [`Group::timeout`].
     pub fn due(&self) -> Option<Micros> {
-        let first = self.due.first().map(|(at, _)| *at);
+        let first = self.deadlines.first().map(|(at, _)| *at);
         [first, self.audit_at].into_iter().flatten().min()
     }
 
-    // ---- Tokens and waits ----
+    // ---- Requests and timers ----
 
     fn send(&mut self, now: Micros, request: Request, out: &mut Vec<Event>) -> Token {
-        let token = self.next;
-        self.next = self.next.wrapping_add(1);
+        let token = self.next_token;
+        self.next_token = self.next_token.wrapping_add(1);
         let timers = &self.settings.timers;
         let wait = match request {
             Request::Seize { .. } => timers.seize,
             Request::Release { .. } => timers.release,
             _ => timers.again,
         };
-        self.due.insert((now + wait, token));
+        self.deadlines.insert((now + wait, token));
         out.push(Event::Send(token, request.clone()));
-        self.pending.insert(token, Pending { request, due: now + wait, sent: 1, dropped: false });
+        self.pending.insert(token, Pending { request, due_at: now + wait, sent: 1, abandoned: false });
         token
     }
 
-    fn finish(&mut self, token: Token) -> Option<Pending> {
+    fn take_pending(&mut self, token: Token) -> Option<Pending> {
         let pending = self.pending.remove(&token)?;
-        self.due.remove(&(pending.due, token));
+        self.deadlines.remove(&(pending.due_at, token));
         Some(pending)
     }
 
-    /// Own resets that wait for their reply.
-    fn resets(&self) -> Vec<(Token, std::ops::Range<CircuitId>)> {
+    /// Returns the resets by this end that await a reply.
+    fn pending_resets(&self) -> Vec<(Token, std::ops::Range<CircuitId>)> {
         let ranges = self.pending.iter().filter_map(|(token, pending)| match pending.request {
             Request::Reset(range) => Some((*token, range.within(self.settings.size))),
             _ => None,
@@ -277,42 +279,43 @@
         ranges.collect()
     }
 
-    /// The state of a circuit changes.
-    fn set(&mut self, circuit: CircuitId, state: State) {
-        let Some(this) = self.circuits.get_mut(circuit as usize) else { return };
-        if this.state != state {
-            this.generation = this.generation.wrapping_add(1);
-            this.state = state;
-            this.look = None;
+    /// Changes the state of a circuit.
+    fn set_state(&mut self, circuit: CircuitId, state: State) {
+        let Some(entry) = self.circuits.get_mut(circuit as usize) else { return };
+        if entry.state != state {
+            entry.generation = entry.generation.wrapping_add(1);
+            entry.state = state;
+            entry.last_observation = None;
         }
-        self.offer(circuit);
+        self.update_selector(circuit);
     }
 
-    /// Whether a circuit may be seized follows from its state and blocks.
-    fn offer(&mut self, circuit: CircuitId) {
-        let Some(this) = self.circuits.get(circuit as usize) else { return };
-        if this.state == State::Idle && !this.local.any() && !this.remote.any() {
+    /// Updates whether a circuit may be seized from its state and blocks.
+    fn update_selector(&mut self, circuit: CircuitId) {
+        let Some(entry) = self.circuits.get(circuit as usize) else { return };
+        if entry.state == State::Idle && !entry.local.any() && !entry.remote.any() {
             self.selector.insert(circuit);
         } else {
             self.selector.remove(circuit);
         }
     }
 
-    // ---- Asked for by this end ----
+    // ---- Operations of this end ----
 
-    /// Seizes an idle circuit for a call; `away` from where the usual order would, after repeated glare.
+    /// Seizes an idle circuit for a call. After repeated glare, `farthest` selects from the opposite end of
+    /// the order.
     pub fn seize(
         &mut self,
         now: Micros,
         call: CallRef,
-        away: bool,
+        farthest: bool,
         out: &mut Vec<Event>,
     ) -> Option<CircuitId> {
-        let circuit = if away { self.selector.choose_away() } else { self.selector.choose() }?;
+        let circuit = if farthest { self.selector.choose_farthest() } else { self.selector.choose() }?;
         self.seize_circuit(now, circuit, call, out).then_some(circuit)
     }
 
-    /// Seizes one circuit in particular, if it is free.
+    /// Seizes the given circuit; returns false if it is not available.
     pub fn seize_circuit(
         &mut self,
         now: Micros,
@@ -323,22 +326,22 @@
         if !self.selector.contains(circuit) {
             return false;
         }
-        self.set(circuit, State::Seizing(call));
+        self.set_state(circuit, State::Seizing(call));
         let token = self.send(now, Request::Seize { circuit, call }, out);
         self.circuits[circuit as usize].token = token;
         true
     }
 
-    /// Ends whatever call a circuit holds, from this end: a call that is over, a seizure that is given up, a
-    /// call of the other end that is refused or ended.
+    /// Releases the call on a circuit from this end: ends an established call, abandons a seizure, or refuses
+    /// an offered call of the other end.
     pub fn release(&mut self, now: Micros, circuit: CircuitId, out: &mut Vec<Event>) {
-        let Some(this) = self.circuits.get(circuit as usize) else { return };
-        let (token, theirs) = (this.token, this.theirs);
-        let (call, own) = match this.state {
+        let Some(entry) = self.circuits.get(circuit as usize) else { return };
+        let (token, seizure_token) = (entry.token, entry.seizure_token);
+        let (call, outgoing) = match entry.state {
             State::Seizing(call) => {
-                // Its reply, if one comes, is too late.
+                // A reply that still arrives is ignored.
                 if let Some(pending) = self.pending.get_mut(&token) {
-                    pending.dropped = true;
+                    pending.abandoned = true;
                 }
                 (call, true)
             }
@@ -346,13 +349,13 @@
             State::Incoming(call) => (call, false),
             State::Arriving(_) => {
                 let reply = Reply::Refused(Refusal::Call);
-                self.circuits[circuit as usize].replied = Some(reply.clone());
-                out.push(Event::Reply(theirs, reply));
-                return self.set(circuit, State::Idle);
+                self.circuits[circuit as usize].seizure_reply = Some(reply.clone());
+                out.push(Event::Reply(seizure_token, reply));
+                return self.set_state(circuit, State::Idle);
             }
             State::Idle | State::Releasing(_) | State::Resetting => return,
         };
-        self.begin_release(now, circuit, call, own, out);
+        self.begin_release(now, circuit, call, outgoing, out);
     }
 
     fn begin_release(
@@ -360,42 +363,42 @@
         now: Micros,
         circuit: CircuitId,
         call: CallRef,
-        own: bool,
+        outgoing: bool,
         out: &mut Vec<Event>,
     ) {
-        self.set(circuit, State::Releasing(call));
-        let token = self.send(now, Request::Release { circuit, call, outgoing: own }, out);
-        let this = &mut self.circuits[circuit as usize];
-        (this.token, this.own) = (token, own);
+        self.set_state(circuit, State::Releasing(call));
+        let token = self.send(now, Request::Release { circuit, call, outgoing }, out);
+        let entry = &mut self.circuits[circuit as usize];
+        (entry.token, entry.outgoing) = (token, outgoing);
     }
 
-    /// Accepts the call that the other end seized a circuit for.
+    /// Accepts the call for which the other end seized a circuit.
     pub fn accept(&mut self, circuit: CircuitId, out: &mut Vec<Event>) {
-        let Some(this) = self.circuits.get_mut(circuit as usize) else { return };
-        if let State::Arriving(call) = this.state {
-            this.replied = Some(Reply::Accepted);
-            out.push(Event::Reply(this.theirs, Reply::Accepted));
-            self.set(circuit, State::Incoming(call));
+        let Some(entry) = self.circuits.get_mut(circuit as usize) else { return };
+        if let State::Arriving(call) = entry.state {
+            entry.seizure_reply = Some(Reply::Accepted);
+            out.push(Event::Reply(entry.seizure_token, Reply::Accepted));
+            self.set_state(circuit, State::Incoming(call));
         }
     }
 
-    /// Blocks or unblocks circuits at this end. Calls go on under a block for maintenance and are cut by one for
-    /// a hardware failure.
+    /// Blocks or unblocks circuits at this end. Calls continue under a block for maintenance and are cleared
+    /// by a block for a hardware failure.
     pub fn block(&mut self, now: Micros, range: Range, hardware: bool, on: bool, out: &mut Vec<Event>) {
         for circuit in range.within(self.settings.size) {
             self.circuits[circuit as usize].local.set(hardware, on);
             if hardware && on {
-                self.cut(circuit, out);
-                self.set(circuit, State::Idle);
+                self.clear_call(circuit, out);
+                self.set_state(circuit, State::Idle);
             }
-            self.offer(circuit);
+            self.update_selector(circuit);
         }
         let request =
             if on { Request::Block { range, hardware } } else { Request::Unblock { range, hardware } };
         self.send(now, request, out);
     }
 
-    /// Resets circuits: whatever they hold is over, at both ends.
+    /// Resets circuits, which clears any calls on them at both ends.
     pub fn reset(&mut self, now: Micros, range: Range, out: &mut Vec<Event>) {
         let circuits = range.within(self.settings.size);
         let (first, count) = (circuits.start, circuits.len() as u32);
@@ -403,14 +406,15 @@
             return;
         }
         for circuit in circuits.clone() {
-            self.cut(circuit, out);
-            self.set(circuit, State::Resetting);
+            self.clear_call(circuit, out);
+            self.set_state(circuit, State::Resetting);
         }
-        // Said again behind this one, an earlier reset would end calls that began in between.
-        let within =
+        // An earlier reset within this range, retransmitted after this one, would clear calls set up in
+        // between.
+        let covered =
             |range: &std::ops::Range<CircuitId>| range.start >= circuits.start && range.end <= circuits.end;
-        for (token, _) in self.resets().into_iter().filter(|(_, range)| within(range)) {
-            self.finish(token);
+        for (token, _) in self.pending_resets().into_iter().filter(|(_, range)| covered(range)) {
+            self.take_pending(token);
         }
         let token = self.send(now, Request::Reset(Range { first, count }), out);
         for circuit in circuits {
@@ -418,23 +422,25 @@
         }
     }
 
-    /// Resets the whole group, as after a restart of this end; blocks set here are told again with the replies.
+    /// Resets the whole group, as after a restart of this end. The other end repeats its blocks with its
+    /// reply.
     pub fn restart(&mut self, now: Micros, out: &mut Vec<Event>) {
         self.reset(now, Range { first: 0, count: self.settings.size }, out);
     }
 
-    /// Begins an audit of the whole group now.
+    /// Starts an audit of the whole group now.
     pub fn audit(&mut self, now: Micros) {
-        self.cursor = 0;
+        self.audit_cursor = 0;
         if self.settings.audits.is_some() {
             self.audit_at = Some(now);
         }
     }
 
-    /// The call of a circuit is over without a word to the other end; a request for it waits no longer.
-    fn cut(&mut self, circuit: CircuitId, out: &mut Vec<Event>) {
-        let this = &self.circuits[circuit as usize];
-        let (state, token) = (this.state, this.token);
+    /// Clears the call on a circuit without notifying the other end, and stops waiting for replies concerning
+    /// it.
+    fn clear_call(&mut self, circuit: CircuitId, out: &mut Vec<Event>) {
+        let entry = &self.circuits[circuit as usize];
+        let (state, token) = (entry.state, entry.token);
         match state {
             State::Seizing(call) | State::Outgoing(call) => out.push(Event::Cut(circuit, call, true)),
             State::Arriving(call) | State::Incoming(call) => out.push(Event::Cut(circuit, call, false)),
@@ -443,162 +449,166 @@
         match state {
             State::Seizing(_) => {
                 if let Some(pending) = self.pending.get_mut(&token) {
-                    pending.dropped = true;
+                    pending.abandoned = true;
                 }
             }
             State::Releasing(_) => {
-                self.finish(token);
+                self.take_pending(token);
             }
             _ => {}
         }
     }
 
-    // ---- Asked for by the other end ----
+    // ---- Requests of the other end ----
 
-    /// A request came.
+    /// Handles a request of the other end.
     pub fn request(&mut self, now: Micros, token: Token, request: &Request, out: &mut Vec<Event>) {
         match *request {
-            Request::Seize { circuit, call } => self.seized(token, circuit, call, out),
+            Request::Seize { circuit, call } => self.on_seize(token, circuit, call, out),
             Request::Release { circuit, call, outgoing } => {
-                self.released(circuit, call, outgoing, out);
+                self.on_release(circuit, call, outgoing, out);
                 out.push(Event::Reply(token, Reply::Done));
             }
-            Request::Reset(range) => self.reset_by_them(now, token, range, out),
+            Request::Reset(range) => self.on_reset(now, token, range, out),
             Request::Block { range, hardware } => {
                 for circuit in range.within(self.settings.size) {
                     if hardware {
-                        self.cut(circuit, out);
+                        self.clear_call(circuit, out);
                         if self.circuits[circuit as usize].state != State::Resetting {
-                            self.set(circuit, State::Idle);
+                            self.set_state(circuit, State::Idle);
                         }
                     }
                     self.circuits[circuit as usize].remote.set(hardware, true);
-                    self.offer(circuit);
+                    self.update_selector(circuit);
                 }
                 out.push(Event::Reply(token, Reply::Done));
             }
             Request::Unblock { range, hardware } => {
                 for circuit in range.within(self.settings.size) {
                     self.circuits[circuit as usize].remote.set(hardware, false);
-                    self.offer(circuit);
+                    self.update_selector(circuit);
                 }
                 out.push(Event::Reply(token, Reply::Done));
             }
             Request::Query(range) => {
-                let last = range.first.saturating_add(range.count.min(MOST));
-                let states = (range.first..last).map(|circuit| self.told(circuit)).collect();
+                let last = range.first.saturating_add(range.count.min(MAX_CIRCUITS));
+                let states = (range.first..last).map(|circuit| self.reported_state(circuit)).collect();
                 out.push(Event::Reply(token, Reply::States(states)));
             }
         }
     }
 
-    fn told(&self, circuit: CircuitId) -> (FarState, Blocks) {
-        let Some(this) = self.circuits.get(circuit as usize) else {
-            return (FarState::Unequipped, Blocks::default());
+    fn reported_state(&self, circuit: CircuitId) -> (ReportedState, Blocks) {
+        let Some(entry) = self.circuits.get(circuit as usize) else {
+            return (ReportedState::Unequipped, Blocks::default());
         };
-        let state = match this.state {
-            State::Idle => FarState::Idle,
-            State::Outgoing(_) => FarState::Outgoing,
-            State::Incoming(_) => FarState::Incoming,
-            _ => FarState::Transient,
+        let state = match entry.state {
+            State::Idle => ReportedState::Idle,
+            State::Outgoing(_) => ReportedState::Outgoing,
+            State::Incoming(_) => ReportedState::Incoming,
+            _ => ReportedState::Transient,
         };
-        (state, this.local)
+        (state, entry.local)
     }
 
-    fn seized(&mut self, token: Token, circuit: CircuitId, call: CallRef, out: &mut Vec<Event>) {
-        let Some(this) = self.circuits.get(circuit as usize) else {
+    fn on_seize(&mut self, token: Token, circuit: CircuitId, call: CallRef, out: &mut Vec<Event>) {
+        let Some(entry) = self.circuits.get(circuit as usize) else {
             return out.push(Event::Reply(token, Reply::Refused(Refusal::Unequipped)));
         };
-        if this.theirs == token {
-            // The same seizure once more: the same reply, if there is one already.
-            if let Some(reply) = this.replied.clone() {
+        if entry.seizure_token == token {
+            // A retransmission of the same seizure gets the same reply, if one has been sent.
+            if let Some(reply) = entry.seizure_reply.clone() {
                 out.push(Event::Reply(token, reply));
             }
             return;
         }
         let refuse = |refusal| Event::Reply(token, Reply::Refused(refusal));
-        if this.local.any() {
+        if entry.local.any() {
             return out.push(refuse(Refusal::Blocked));
         }
-        match this.state {
+        match entry.state {
             State::Idle => {}
-            State::Seizing(_) if self.settings.control.has(circuit) => {
+            State::Seizing(_) if self.settings.control.controls(circuit) => {
                 return out.push(refuse(Refusal::Glare))
             }
-            State::Seizing(own) => {
-                // Dual seizure, and the other end controls the circuit: the own call yields.
-                if let Some(pending) = self.pending.get_mut(&this.token) {
-                    pending.dropped = true;
+            State::Seizing(own_call) => {
+                // Dual seizure on a circuit that the other end controls: the call of this end yields.
+                if let Some(pending) = self.pending.get_mut(&entry.token) {
+                    pending.abandoned = true;
                 }
-                out.push(Event::Yielded(circuit, own));
+                out.push(Event::Yielded(circuit, own_call));
+            }
+            // The other end regards the circuit as idle: its call has ended there, and the release was lost.
+            State::Incoming(ended_call) | State::Arriving(ended_call) => {
+                out.push(Event::Ended(circuit, ended_call, false))
             }
-            // The other end takes it for idle: its call is over there, and the release was lost.
-            State::Incoming(old) | State::Arriving(old) => out.push(Event::Ended(circuit, old, false)),
             State::Outgoing(_) => return out.push(refuse(Refusal::Busy)),
-            // It may have seized before our release reached it, for a seizure of ours that it never got.
-            // Refused, it will find the circuit idle once the release is done.
+            // The other end may have seized the circuit before the release arrived, if it never received the
+            // released seizure. It is refused and can seize the circuit once the release is complete.
             State::Releasing(_) => return out.push(refuse(Refusal::Busy)),
             State::Resetting => return out.push(refuse(Refusal::Resetting)),
         }
-        let this = &mut self.circuits[circuit as usize];
-        // A seizure from there shows that it is not blocked there for maintenance any more (Q.764 2.8.2.1).
-        this.remote.maintenance = false;
-        (this.theirs, this.replied) = (token, None);
-        this.generation = this.generation.wrapping_add(1);
-        self.set(circuit, State::Arriving(call));
+        let entry = &mut self.circuits[circuit as usize];
+        // A seizure by the other end implies that its block for maintenance is lifted (Q.764 2.8.2.1).
+        entry.remote.maintenance = false;
+        (entry.seizure_token, entry.seizure_reply) = (token, None);
+        entry.generation = entry.generation.wrapping_add(1);
+        self.set_state(circuit, State::Arriving(call));
         out.push(Event::Offered(circuit, call));
     }
 
-    fn released(&mut self, circuit: CircuitId, call: CallRef, outgoing: bool, out: &mut Vec<Event>) {
-        let Some(this) = self.circuits.get(circuit as usize) else { return };
-        let (state, token) = (this.state, this.token);
+    fn on_release(&mut self, circuit: CircuitId, call: CallRef, outgoing: bool, out: &mut Vec<Event>) {
+        let Some(entry) = self.circuits.get(circuit as usize) else { return };
+        let (state, token) = (entry.state, entry.token);
         match state {
-            State::Arriving(held) | State::Incoming(held) if outgoing && held == call => {
+            State::Arriving(current_call) | State::Incoming(current_call)
+                if outgoing && current_call == call =>
+            {
                 out.push(Event::Ended(circuit, call, false));
-                self.set(circuit, State::Idle);
+                self.set_state(circuit, State::Idle);
             }
-            State::Outgoing(held) if !outgoing && held == call => {
+            State::Outgoing(current_call) if !outgoing && current_call == call => {
                 out.push(Event::Ended(circuit, call, true));
-                self.set(circuit, State::Idle);
+                self.set_state(circuit, State::Idle);
             }
-            State::Seizing(held) if !outgoing && held == call => {
-                // Accepted and ended there, and the acceptance was lost.
-                self.finish(token);
+            State::Seizing(current_call) if !outgoing && current_call == call => {
+                // The other end accepted and then released the call; the acceptance was lost.
+                self.take_pending(token);
                 out.push(Event::Ended(circuit, call, true));
-                self.set(circuit, State::Idle);
+                self.set_state(circuit, State::Idle);
             }
-            // Another call's, or one that is being released from here too: that waits for its own reply.
+            // The release concerns another call, or this end is releasing it too and awaits its own reply.
             _ => {}
         }
     }
 
-    fn reset_by_them(&mut self, now: Micros, token: Token, range: Range, out: &mut Vec<Event>) {
+    fn on_reset(&mut self, now: Micros, token: Token, range: Range, out: &mut Vec<Event>) {
         let circuits = range.within(self.settings.size);
         let mut blocked = Vec::new();
         for circuit in circuits {
-            // A reset that is said twice must not end a call that began in between.
-            if self.circuits[circuit as usize].reset == Some(token) {
+            // A retransmitted reset must not clear a call that was set up after its first copy.
+            if self.circuits[circuit as usize].last_reset == Some(token) {
                 continue;
             }
-            self.circuits[circuit as usize].reset = Some(token);
-            self.cut(circuit, out);
-            let this = &mut self.circuits[circuit as usize];
-            this.remote = Blocks::default();
-            if this.local.any() {
-                blocked.push((circuit, this.local));
+            self.circuits[circuit as usize].last_reset = Some(token);
+            self.clear_call(circuit, out);
+            let entry = &mut self.circuits[circuit as usize];
+            entry.remote = Blocks::default();
+            if entry.local.any() {
+                blocked.push((circuit, entry.local));
             }
-            // Resets that cross: the own one still waits for its reply.
-            if this.state != State::Resetting {
-                self.set(circuit, State::Idle);
+            // The resets cross: the reset of this end still awaits its reply.
+            if entry.state != State::Resetting {
+                self.set_state(circuit, State::Idle);
             }
-            self.offer(circuit);
+            self.update_selector(circuit);
         }
         out.push(Event::Reply(token, Reply::Done));
-        // The other end has forgotten the blocks set here (Q.764 2.9.3.1).
+        // The other end has lost the blocks that this end had set: send them again (Q.764 2.9.3.1).
         for hardware in [false, true] {
-            let holds = |blocks: Blocks| if hardware { blocks.hardware } else { blocks.maintenance };
+            let is_blocked = |blocks: Blocks| if hardware { blocks.hardware } else { blocks.maintenance };
             let mut run: Option<Range> = None;
-            for (circuit, _) in blocked.iter().filter(|(_, blocks)| holds(*blocks)) {
+            for (circuit, _) in blocked.iter().filter(|(_, blocks)| is_blocked(*blocks)) {
                 match &mut run {
                     Some(range) if range.first + range.count == *circuit => range.count += 1,
                     _ => {
@@ -616,57 +626,59 @@
 
     // ---- Replies ----
 
-    /// A reply came. One to no request that waits is dropped.
+    /// Handles a reply. A reply that matches no pending request is ignored.
     pub fn reply(&mut self, now: Micros, token: Token, reply: &Reply, out: &mut Vec<Event>) {
-        let Some(pending) = self.finish(token) else { return };
+        let Some(pending) = self.take_pending(token) else { return };
         match (pending.request, reply) {
             (Request::Seize { circuit, call }, reply) => {
-                self.seizure_answered(now, (circuit, call), token, pending.dropped, reply, out);
+                self.on_seizure_reply(now, (circuit, call), token, pending.abandoned, reply, out);
             }
             (Request::Release { circuit, .. }, _) => {
-                let this = &self.circuits[circuit as usize];
-                if matches!(this.state, State::Releasing(_)) && this.token == token {
-                    self.set(circuit, State::Idle);
+                let entry = &self.circuits[circuit as usize];
+                if matches!(entry.state, State::Releasing(_)) && entry.token == token {
+                    self.set_state(circuit, State::Idle);
                 }
             }
             (Request::Reset(range), _) => {
-                // One of another range that waits may come there again: until it is answered, too.
-                let others = self.resets();
+                // Another pending reset that covers the circuit may be retransmitted: wait for its reply,
+                // too.
+                let others = self.pending_resets();
                 for circuit in range.within(self.settings.size) {
-                    let this = &self.circuits[circuit as usize];
-                    let waits = || others.iter().any(|(_, other)| other.contains(&circuit));
-                    if this.state == State::Resetting && !waits() {
-                        self.set(circuit, State::Idle);
+                    let entry = &self.circuits[circuit as usize];
+                    let is_pending = || others.iter().any(|(_, other)| other.contains(&circuit));
+                    if entry.state == State::Resetting && !is_pending() {
+                        self.set_state(circuit, State::Idle);
                     }
                 }
             }
-            (Request::Query(_), Reply::States(states)) => self.audited(now, token, states, out),
+            (Request::Query(_), Reply::States(states)) => self.on_query_reply(now, token, states, out),
             (Request::Query(_) | Request::Block { .. } | Request::Unblock { .. }, _) => {}
         }
     }
 
-    fn seizure_answered(
+    fn on_seizure_reply(
         &mut self,
         now: Micros,
         (circuit, call): (CircuitId, CallRef),
         token: Token,
-        dropped: bool,
+        abandoned: bool,
         reply: &Reply,
         out: &mut Vec<Event>,
     ) {
-        let this = &self.circuits[circuit as usize];
-        let current = this.state == State::Seizing(call) && this.token == token && !dropped;
+        let entry = &self.circuits[circuit as usize];
+        let current = entry.state == State::Seizing(call) && entry.token == token && !abandoned;
         match reply {
             Reply::Accepted if current => {
-                self.set(circuit, State::Outgoing(call));
+                self.set_state(circuit, State::Outgoing(call));
                 out.push(Event::Stands(circuit, call));
             }
             Reply::Accepted => {
-                // Given up here, accepted there. After a release that is under way it is as it should be; after
-                // a yield, both ends yielded: neither takes the circuit for its own.
-                let releasing = this.state == State::Releasing(call) && this.own;
+                // This end abandoned the seizure, the other end accepted it. A release under way already
+                // resolves this. After a yield both ends have yielded, which means that neither claims
+                // control of the circuit.
+                let releasing = entry.state == State::Releasing(call) && entry.outgoing;
                 if !releasing {
-                    if matches!(this.state, State::Arriving(_) | State::Incoming(_)) {
+                    if matches!(entry.state, State::Arriving(_) | State::Incoming(_)) {
                         out.push(Event::Dispute(circuit));
                     }
                     self.send(now, Request::Release { circuit, call, outgoing: true }, out);
@@ -675,7 +687,7 @@
             Reply::Refused(refusal) if current => {
                 match refusal {
                     Refusal::Glare => {
-                        if self.settings.control.has(circuit) {
+                        if self.settings.control.controls(circuit) {
                             out.push(Event::Dispute(circuit));
                         }
                         out.push(Event::Yielded(circuit, call));
@@ -683,55 +695,55 @@
                     other => out.push(Event::Refused(circuit, call, *other)),
                 }
                 match refusal {
-                    // What the other end says of the circuit holds until it says otherwise.
+                    // The other end's block applies until it reports otherwise.
                     Refusal::Unequipped => self.circuits[circuit as usize].remote.hardware = true,
                     Refusal::Blocked => self.circuits[circuit as usize].remote.maintenance = true,
                     _ => {}
                 }
-                self.set(circuit, State::Idle);
+                self.set_state(circuit, State::Idle);
             }
             _ => {}
         }
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
-    /// The time at [`Group::due`] has come.
+    /// Handles expired timers. Called at the time returned by [`Group::due`].
     pub fn timeout(&mut self, now: Micros, out: &mut Vec<Event>) {
-        while let Some((at, token)) = self.due.first().copied().filter(|(at, _)| *at <= now) {
-            self.due.remove(&(at, token));
+        while let Some((at, token)) = self.deadlines.first().copied().filter(|(at, _)| *at <= now) {
+            self.deadlines.remove(&(at, token));
             let Some(pending) = self.pending.get(&token) else { continue };
             match pending.request.clone() {
                 Request::Seize { circuit, call } => {
-                    let dropped = pending.dropped;
+                    let abandoned = pending.abandoned;
                     self.pending.remove(&token);
-                    let this = &self.circuits[circuit as usize];
-                    if !dropped && this.state == State::Seizing(call) && this.token == token {
+                    let entry = &self.circuits[circuit as usize];
+                    if !abandoned && entry.state == State::Seizing(call) && entry.token == token {
                         out.push(Event::Lost(circuit, call));
                         self.begin_release(now, circuit, call, true, out);
-                    } else if this.state != State::Releasing(call) {
-                        // It yielded, and whether the other end took it all the same was never heard.
+                    } else if entry.state != State::Releasing(call) {
+                        // The call yielded; the other end may have accepted it, and the reply was lost.
                         self.send(now, Request::Release { circuit, call, outgoing: true }, out);
                     }
                 }
                 Request::Release { circuit, call, .. } if pending.sent >= self.settings.timers.releases => {
                     self.pending.remove(&token);
-                    let this = &self.circuits[circuit as usize];
-                    if this.state == State::Releasing(call) && this.token == token {
+                    let entry = &self.circuits[circuit as usize];
+                    if entry.state == State::Releasing(call) && entry.token == token {
                         self.reset(now, Range::one(circuit), out);
                     }
                 }
                 Request::Query(_) => {
                     self.pending.remove(&token);
-                    self.asked = None;
+                    self.audit_query = None;
                 }
-                request => self.again(now, token, request, out),
+                request => self.retransmit(now, token, request, out),
             }
         }
-        self.ask(now, out);
+        self.send_audit_query(now, out);
     }
 
-    fn again(&mut self, now: Micros, token: Token, request: Request, out: &mut Vec<Event>) {
+    fn retransmit(&mut self, now: Micros, token: Token, request: Request, out: &mut Vec<Event>) {
         let timers = self.settings.timers;
         let Some(pending) = self.pending.get_mut(&token) else { return };
         let wait = match request {
@@ -740,12 +752,13 @@
             _ => timers.seldom,
         };
         pending.sent += 1;
-        pending.due = now + wait;
-        self.due.insert((now + wait, token));
+        pending.due_at = now + wait;
+        self.deadlines.insert((now + wait, token));
         out.push(Event::Send(token, request));
     }
 
-    /// The link is open again after it was lost: what waits for a reply is sent at once.
+    /// Retransmits pending requests, other than seizures and queries, at once after the link was
+    /// re-established.
     pub fn reconnected(&mut self, now: Micros, out: &mut Vec<Event>) {
         let mut waiting: Vec<Token> = self.pending.keys().copied().collect();
         waiting.sort_unstable();
@@ -754,69 +767,80 @@
             if matches!(pending.request, Request::Seize { .. } | Request::Query(_)) {
                 continue;
             }
-            let (request, due) = (pending.request.clone(), pending.due);
-            self.due.remove(&(due, token));
-            self.again(now, token, request, out);
+            let (request, due_at) = (pending.request.clone(), pending.due_at);
+            self.deadlines.remove(&(due_at, token));
+            self.retransmit(now, token, request, out);
         }
     }
 
     // ---- Audits ----
 
-    fn ask(&mut self, now: Micros, out: &mut Vec<Event>) {
+    fn send_audit_query(&mut self, now: Micros, out: &mut Vec<Event>) {
         let Some(audits) = self.settings.audits else { return };
         if self.audit_at.is_none_or(|at| at > now) {
             return;
         }
-        self.audit_at = Some(now + audits.pace(self.settings.size));
-        if self.asked.is_some() || self.settings.size == 0 {
+        self.audit_at = Some(now + audits.query_interval(self.settings.size));
+        if self.audit_query.is_some() || self.settings.size == 0 {
             return;
         }
-        let first = if self.cursor >= self.settings.size { 0 } else { self.cursor };
+        let first = if self.audit_cursor >= self.settings.size { 0 } else { self.audit_cursor };
         let count = audits.slice.clamp(1, self.settings.size - first);
-        self.cursor = first + count;
+        self.audit_cursor = first + count;
         let range = Range { first, count };
         let generations = range
             .within(self.settings.size)
             .map(|circuit| self.circuits[circuit as usize].generation)
             .collect();
         let token = self.send(now, Request::Query(range), out);
-        self.asked = Some((token, range, generations));
+        self.audit_query = Some((token, range, generations));
     }
 
-    fn audited(&mut self, now: Micros, token: Token, states: &[(FarState, Blocks)], out: &mut Vec<Event>) {
-        let Some((asked, range, generations)) = self.asked.take() else { return };
-        if asked != token {
-            self.asked = Some((asked, range, generations));
+    fn on_query_reply(
+        &mut self,
+        now: Micros,
+        token: Token,
+        states: &[(ReportedState, Blocks)],
+        out: &mut Vec<Event>,
+    ) {
+        let Some((query_token, range, generations)) = self.audit_query.take() else { return };
+        if query_token != token {
+            self.audit_query = Some((query_token, range, generations));
             return;
         }
-        let looks = range.within(self.settings.size).zip(states).zip(generations);
-        let mut mend: Vec<(CircuitId, Difference)> = Vec::new();
-        for ((circuit, (there, blocks)), asked) in looks {
-            let this = &mut self.circuits[circuit as usize];
-            if *there == FarState::Unequipped && this.state == State::Idle && this.remote.hardware {
-                continue; // Known, and out of use already.
-            }
-            match audit::judge(asked, (this.state, this.generation), *there, this.look) {
-                audit::Verdict::Agree => this.look = None,
-                audit::Verdict::Remember(look) => this.look = Some(look),
-                audit::Verdict::Mend(difference) => {
-                    this.look = None;
-                    mend.push((circuit, difference));
+        let answers = range.within(self.settings.size).zip(states).zip(generations);
+        let mut repairs: Vec<(CircuitId, Difference)> = Vec::new();
+        for ((circuit, (reported, blocks)), generation_at_query) in answers {
+            let entry = &mut self.circuits[circuit as usize];
+            if *reported == ReportedState::Unequipped && entry.state == State::Idle && entry.remote.hardware {
+                continue; // Already known and out of service.
+            }
+            match audit::evaluate(
+                generation_at_query,
+                (entry.state, entry.generation),
+                *reported,
+                entry.last_observation,
+            ) {
+                audit::Verdict::Agree => entry.last_observation = None,
+                audit::Verdict::Remember(observation) => entry.last_observation = Some(observation),
+                audit::Verdict::Repair(difference) => {
+                    entry.last_observation = None;
+                    repairs.push((circuit, difference));
                 }
             }
-            // What the other end blocks it tells with its states, in case a block or its end was lost.
-            if asked == this.generation && *there != FarState::Unequipped {
-                this.remote = *blocks;
+            // The answer includes the other end's blocks, in case a block or unblock was lost.
+            if generation_at_query == entry.generation && *reported != ReportedState::Unequipped {
+                entry.remote = *blocks;
             }
-            self.offer(circuit);
+            self.update_selector(circuit);
         }
         let mut resets: Vec<Range> = Vec::new();
-        for (circuit, difference) in mend {
+        for (circuit, difference) in repairs {
             out.push(Event::Mended(circuit, difference));
             if difference == Difference::Unequipped {
-                self.cut(circuit, out);
+                self.clear_call(circuit, out);
                 self.circuits[circuit as usize].remote.hardware = true;
-                self.set(circuit, State::Idle);
+                self.set_state(circuit, State::Idle);
                 continue;
             }
             match resets.last_mut() {
--- a/crates/lemoncleat-circuits/src/lib.rs
+++ b/crates/lemoncleat-circuits/src/lib.rs
@@ -1,15 +1,16 @@
-//! Trunk groups: numbered circuits between two ends, both of which may seize any of them.
+//! Bothway trunk groups: numbered circuits between two ends, each of which may seize any of them.
 //!
-//! After the public specifications of ISUP (ITU-T Q.762 to Q.764, whose section numbers the modules name):
-//! dual seizure, blocking, reset, group operations and circuit queries, in ISUP's terms. No I/O and no clock:
-//! a [`Group`] is one end of one trunk group; it is told what happened, with the time, and says what to send.
+//! Implements dual seizure, blocking, reset, group operations and circuit queries as specified for ISUP
+//! (ITU-T Q.762 to Q.764, whose section numbers the modules cite), in ISUP's terms. The crate does no I/O and
+//! reads no clock: a [`Group`] is one end of one trunk group; its caller passes in events with the current
+//! time and carries out the [`Event`]s that it returns.
 //!
-//! - [`Group`]: the states of all circuits of one end.
-//! - [`Selector`]: which idle circuit is seized next, in constant or logarithmic time.
-//! - [`glare`]: who yields at a dual seizure, and what becomes of the call that did.
-//! - [`audit`]: which differences between two ends are mended, and when.
+//! - [`Group`]: the states of all circuits at one end.
+//! - [`Selector`]: selects the idle circuit to seize next, in constant or logarithmic time.
+//! - [`glare`]: decides which end yields at a dual seizure, and how the call that yielded is retried.
+//! - [`audit`]: decides which differences between the two ends are repaired, and when.
 //!
-//! [`Request`]s and [`Reply`]s are matched by a token, as Diameter matches answers by Hop-by-Hop Identifier.
+//! A token matches each [`Reply`] to its [`Request`], as the Hop-by-Hop Identifier matches Diameter answers.
 
 pub mod audit;
 pub mod glare;
@@ -19,14 +20,14 @@
 pub mod wire;
 
 pub use group::{Counts, Event, Group, GroupSettings, State, Timers};
-pub use message::{Blocks, FarState, Range, Refusal, Reply, Request, Token};
+pub use message::{Blocks, Range, Refusal, Reply, ReportedState, Request, Token};
 pub use selection::{Order, Selector};
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
-/// A circuit, from 0 to the group's size less one.
+/// The number of a circuit, from 0 to the group's size minus one.
 pub type CircuitId = u32;
 
-/// A call, as named by the end that set it up.
+/// The reference of a call, assigned by the end that set it up.
 pub type CallRef = u64;
--- a/crates/lemoncleat-circuits/src/message.rs
+++ b/crates/lemoncleat-circuits/src/message.rs
@@ -1,98 +1,99 @@
-//! What the two ends of a group say to each other.
+//! Messages between the two ends of a trunk group.
 
 use crate::{CallRef, CircuitId};
 
-/// Matches a reply to its request. A request that is sent again keeps its token.
+/// Matches a reply to its request. A retransmitted request keeps its token.
 pub type Token = u32;
 
-/// Circuits one after the other.
+/// A range of consecutive circuits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Range {
-    /// The first.
+    /// The first circuit.
     pub first: CircuitId,
-    /// How many.
+    /// The number of circuits.
     pub count: u32,
 }
 
 impl Range {
-    /// One circuit.
+    /// Returns the range of a single circuit.
     pub fn one(circuit: CircuitId) -> Range {
         Range { first: circuit, count: 1 }
     }
 
-    /// The circuits in it that a group of a size has.
+    /// Returns the circuits of the range that exist in a group of `size` circuits.
     pub fn within(self, size: u32) -> std::ops::Range<CircuitId> {
         self.first.min(size)..self.first.saturating_add(self.count).min(size)
     }
 }
 
-/// A request, in brackets ISUP's message.
+/// A request to the other end. The corresponding ISUP messages are given in parentheses.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Request {
     /// Seize a circuit for a call (IAM).
     Seize {
-        /// Which circuit.
+        /// The circuit to seize.
         circuit: CircuitId,
-        /// For which call of the sender's.
+        /// The sender's reference of the call.
         call: CallRef,
     },
-    /// A call is over, from either side (REL).
+    /// Release a call, from either end (REL).
     Release {
-        /// Which circuit.
+        /// The circuit to release.
         circuit: CircuitId,
-        /// Which call, as its own end names it. A release of another call changes nothing.
+        /// The call, by the reference of the end that set it up. A release of another call has no effect.
         call: CallRef,
-        /// The sender seized the circuit for it; otherwise the receiver did.
+        /// Whether the sender seized the circuit for the call; otherwise the receiver did.
         outgoing: bool,
     },
-    /// Circuits go back to idle, whatever they hold (RSC, GRS).
+    /// Return circuits to idle and clear any calls on them (RSC, GRS).
     Reset(Range),
-    /// The other end must not seize circuits (BLO, CGB).
+    /// Forbid the other end to seize circuits (BLO, CGB).
     Block {
-        /// Which.
+        /// The circuits to block.
         range: Range,
-        /// For a hardware failure: calls there are over too. Otherwise for maintenance: they go on.
+        /// Whether the block is for a hardware failure, which also clears calls on the circuits. A block for
+        /// maintenance lets them continue.
         hardware: bool,
     },
-    /// It may again (UBL, CGU).
+    /// Lift a block (UBL, CGU).
     Unblock {
-        /// Which.
+        /// The circuits to unblock.
         range: Range,
-        /// Which of the two blocks.
+        /// Whether the block for a hardware failure is lifted; otherwise the one for maintenance.
         hardware: bool,
     },
-    /// What state are circuits in (CQM)?
+    /// Query the states of circuits (CQM).
     Query(Range),
 }
 
-/// Why a seizure is refused.
+/// The reason why a seizure is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// Both ends seized the circuit, and the refusing one controls it.
+    /// Both ends seized the circuit, and the refusing end controls it.
     Glare,
     /// The circuit is blocked at the refusing end.
     Blocked,
-    /// There is no such circuit (UCIC).
+    /// The circuit does not exist at the refusing end (UCIC).
     Unequipped,
-    /// The circuit is in use at the refusing end: the two ends differ.
+    /// The circuit is in use at the refusing end, so the states of the two ends differ.
     Busy,
     /// The circuit is being reset.
     Resetting,
-    /// The call is refused for its own sake.
+    /// The call itself is refused, for a reason other than the circuit.
     Call,
 }
 
-/// Blocks on a circuit.
+/// The blocks set on a circuit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Blocks {
-    /// For maintenance.
+    /// Blocked for maintenance.
     pub maintenance: bool,
-    /// For a hardware failure.
+    /// Blocked for a hardware failure.
     pub hardware: bool,
 }
 
 impl Blocks {
-    /// Whether either holds.
+    /// Returns whether any block is set.
     pub fn any(self) -> bool {
         self.maintenance || self.hardware
     }
@@ -106,30 +107,30 @@
     }
 }
 
-/// A circuit's state as told to a query (the circuit state indicator of Q.763).
+/// A circuit's state as reported in reply to a query (the circuit state indicator of Q.763).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum FarState {
+pub enum ReportedState {
     /// Idle.
     Idle,
-    /// Busy with a call that the telling end set up.
+    /// Busy with a call that the reporting end set up.
     Outgoing,
-    /// Busy with a call that the asking end set up.
+    /// Busy with a call that the querying end set up.
     Incoming,
-    /// Between two states: says nothing.
+    /// Changing state; does not count as a difference.
     Transient,
-    /// There is no such circuit.
+    /// The circuit does not exist at the reporting end.
     Unequipped,
 }
 
-/// A reply.
+/// A reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
-    /// The seizure is accepted: the call stands (ACM and ANM).
+    /// The seizure is accepted and the call is established (ACM and ANM).
     Accepted,
-    /// The seizure is refused; its circuit is free of it.
+    /// The seizure is refused and no longer holds the circuit.
     Refused(Refusal),
-    /// Release, reset, block or unblock is done (RLC, GRA, BLA, UBA).
+    /// The release, reset, block or unblock is complete (RLC, GRA, BLA, UBA).
     Done,
-    /// The states of the circuits asked for (CQR), with the blocks that the telling end has set.
-    States(Vec<(FarState, Blocks)>),
+    /// The states of the queried circuits (CQR), with the blocks set at the reporting end.
+    States(Vec<(ReportedState, Blocks)>),
 }
--- a/crates/lemoncleat-circuits/src/selection.rs
+++ b/crates/lemoncleat-circuits/src/selection.rs
@@ -1,240 +1,245 @@
-//! Which idle circuit is seized next.
+//! Selection of the idle circuit to seize next.
 //!
-//! A set of circuits is a hierarchy of 64-bit words: a bit of an upper word says that the word below it is not
-//! empty. Finding the first or last member, or the first from some place on, looks at a word of each level: four
-//! for 100,000 circuits. The least recently used order is a doubly linked list through an array.
+//! A set of circuits is a hierarchical bitmap of 64-bit words: a set bit in an upper word means that the word
+//! below it is not empty. Finding the first or last member, or the first from a given position, reads one
+//! word per level (at most two for the latter): there are three levels for 100,000 circuits. The least
+//! recently used order is kept in a doubly linked list stored in an array.
 
 use crate::CircuitId;
 
-const BITS: usize = 64;
-const NONE: u32 = u32::MAX;
+const WORD_BITS: usize = 64;
+const NO_CIRCUIT: u32 = u32::MAX;
 
-/// How an end chooses among idle circuits (Q.764 section 2.9.1.3 recommends orders that keep two ends apart).
+/// The order in which an end selects idle circuits. Q.764 section 2.9.1.3 recommends orders that make the two
+/// ends select different circuits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Order {
-    /// The lowest number.
+    /// The circuit with the lowest number.
     Lowest,
-    /// The highest.
+    /// The circuit with the highest number.
     Highest,
-    /// The one that has been idle longest.
+    /// The circuit that has been idle longest.
     LeastRecent,
-    /// The lowest of those that this end controls; when they are all taken, the highest of the others.
+    /// The lowest circuit that this end controls; if none of those is idle, the highest of the others.
     OwnFirst,
-    /// The next after the one chosen last.
+    /// The next idle circuit after the one selected last.
     Cyclic,
 }
 
 impl Order {
-    /// All of them.
+    /// All orders.
     pub const ALL: [Order; 5] =
         [Order::Lowest, Order::Highest, Order::LeastRecent, Order::OwnFirst, Order::Cyclic];
 }
 
-/// A set of small numbers.
+/// A set of small integers as a hierarchical bitmap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Bits {
+struct BitSet {
     levels: Vec<Vec<u64>>,
 }
 
-impl Bits {
-    fn new(size: usize) -> Bits {
+impl BitSet {
+    fn new(size: usize) -> BitSet {
         let mut levels = Vec::new();
-        let mut words = size.div_ceil(BITS).max(1);
+        let mut words = size.div_ceil(WORD_BITS).max(1);
         loop {
             levels.push(vec![0; words]);
             if words == 1 {
-                return Bits { levels };
+                return BitSet { levels };
             }
-            words = words.div_ceil(BITS);
+            words = words.div_ceil(WORD_BITS);
         }
     }
 
     fn insert(&mut self, member: usize) {
-        let mut at = member;
+        let mut index = member;
         for level in &mut self.levels {
-            level[at / BITS] |= 1 << (at % BITS);
-            at /= BITS;
+            level[index / WORD_BITS] |= 1 << (index % WORD_BITS);
+            index /= WORD_BITS;
         }
     }
 
     fn remove(&mut self, member: usize) {
-        let mut at = member;
+        let mut index = member;
         for level in &mut self.levels {
-            level[at / BITS] &= !(1 << (at % BITS));
-            if level[at / BITS] != 0 {
+            level[index / WORD_BITS] &= !(1 << (index % WORD_BITS));
+            if level[index / WORD_BITS] != 0 {
                 return;
             }
-            at /= BITS;
+            index /= WORD_BITS;
         }
     }
 
     fn first(&self) -> Option<usize> {
-        let mut at = 0;
+        let mut index = 0;
         for level in self.levels.iter().rev() {
-            let word = level[at];
+            let word = level[index];
             if word == 0 {
                 return None;
             }
-            at = at * BITS + word.trailing_zeros() as usize;
+            index = index * WORD_BITS + word.trailing_zeros() as usize;
         }
-        Some(at)
+        Some(index)
     }
 
     fn last(&self) -> Option<usize> {
-        let mut at = 0;
+        let mut index = 0;
         for level in self.levels.iter().rev() {
-            let word = level[at];
+            let word = level[index];
             if word == 0 {
                 return None;
             }
-            at = at * BITS + (BITS - 1 - word.leading_zeros() as usize);
+            index = index * WORD_BITS + (WORD_BITS - 1 - word.leading_zeros() as usize);
         }
-        Some(at)
+        Some(index)
     }
 
-    /// The first member from a place on.
+    /// Returns the first member that is not less than `from`.
     fn next(&self, from: usize) -> Option<usize> {
-        let mut at = from;
+        let mut index = from;
         for (depth, level) in self.levels.iter().enumerate() {
-            let word = level.get(at / BITS).copied().unwrap_or(0) & (u64::MAX << (at % BITS));
+            let word = level.get(index / WORD_BITS).copied().unwrap_or(0) & (u64::MAX << (index % WORD_BITS));
             if word != 0 {
-                let mut found = at / BITS * BITS + word.trailing_zeros() as usize;
-                for below in self.levels[..depth].iter().rev() {
-                    found = found * BITS + below[found].trailing_zeros() as usize;
+                let mut found = index / WORD_BITS * WORD_BITS + word.trailing_zeros() as usize;
+                for lower_level in self.levels[..depth].iter().rev() {
+                    found = found * WORD_BITS + lower_level[found].trailing_zeros() as usize;
                 }
                 return Some(found);
             }
-            at = at / BITS + 1;
+            index = index / WORD_BITS + 1;
         }
         None
     }
 }
 
-/// The circuits that may be seized, in an order.
+/// The circuits that may be seized, in a selection order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Selector {
     order: Order,
-    /// Those that this end controls, and the others; all in the first but for [`Order::OwnFirst`].
-    own: Bits,
-    other: Bits,
+    /// Circuits that this end controls. All circuits for orders other than [`Order::OwnFirst`], which keeps
+    /// those that the other end controls in `other`.
+    own: BitSet,
+    other: BitSet,
     own_parity: Option<u32>,
-    /// Neighbours in the list of the least recently used; empty for other orders.
+    /// Previous and next circuit in the least recently used list; empty for other orders.
     links: Vec<(u32, u32)>,
-    ends: (u32, u32),
-    member: Vec<u64>,
-    turn: usize,
+    list_ends: (u32, u32),
+    available: Vec<u64>,
+    next_cyclic: usize,
     len: usize,
 }
 
 impl Selector {
-    /// An empty set of circuits below `size`. `own_parity` is that of the circuits which this end controls.
+    /// Creates an empty set for circuits below `size`. `own_parity` is the parity of the circuits that this
+    /// end controls.
     pub fn new(order: Order, size: u32, own_parity: Option<u32>) -> Selector {
         let size = size as usize;
         let linked = if order == Order::LeastRecent { size } else { 0 };
         let split = if order == Order::OwnFirst { size } else { 0 };
         Selector {
             order,
-            own: Bits::new(size),
-            other: Bits::new(split),
+            own: BitSet::new(size),
+            other: BitSet::new(split),
             own_parity: own_parity.filter(|_| order == Order::OwnFirst),
-            links: vec![(NONE, NONE); linked],
-            ends: (NONE, NONE),
-            member: vec![0; size.div_ceil(BITS)],
-            turn: 0,
+            links: vec![(NO_CIRCUIT, NO_CIRCUIT); linked],
+            list_ends: (NO_CIRCUIT, NO_CIRCUIT),
+            available: vec![0; size.div_ceil(WORD_BITS)],
+            next_cyclic: 0,
             len: 0,
         }
     }
 
-    /// How many circuits may be seized.
+    /// Returns the number of circuits that may be seized.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none may.
+    /// Returns whether no circuit may be seized.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether a circuit may be seized.
+    /// Returns whether `circuit` may be seized.
     pub fn contains(&self, circuit: CircuitId) -> bool {
-        let at = circuit as usize;
-        self.member.get(at / BITS).is_some_and(|word| word >> (at % BITS) & 1 == 1)
+        let index = circuit as usize;
+        self.available.get(index / WORD_BITS).is_some_and(|word| word >> (index % WORD_BITS) & 1 == 1)
     }
 
     fn is_other(&self, circuit: CircuitId) -> bool {
         self.own_parity.is_some_and(|parity| circuit % 2 != parity)
     }
 
-    /// A circuit became idle.
+    /// Adds a circuit that has become available.
     pub fn insert(&mut self, circuit: CircuitId) {
-        if self.contains(circuit) || circuit as usize / BITS >= self.member.len() {
+        if self.contains(circuit) || circuit as usize / WORD_BITS >= self.available.len() {
             return;
         }
-        let at = circuit as usize;
-        self.member[at / BITS] |= 1 << (at % BITS);
+        let index = circuit as usize;
+        self.available[index / WORD_BITS] |= 1 << (index % WORD_BITS);
         self.len += 1;
         if self.order == Order::LeastRecent {
-            let last = self.ends.1;
-            self.links[at] = (last, NONE);
+            let last = self.list_ends.1;
+            self.links[index] = (last, NO_CIRCUIT);
             match last {
-                NONE => self.ends.0 = circuit,
+                NO_CIRCUIT => self.list_ends.0 = circuit,
                 before => self.links[before as usize].1 = circuit,
             }
-            self.ends.1 = circuit;
+            self.list_ends.1 = circuit;
         } else if self.is_other(circuit) {
-            self.other.insert(at);
+            self.other.insert(index);
         } else {
-            self.own.insert(at);
+            self.own.insert(index);
         }
     }
 
-    /// A circuit is not idle any more, or blocked.
+    /// Removes a circuit that is no longer idle or has been blocked.
     pub fn remove(&mut self, circuit: CircuitId) {
         if !self.contains(circuit) {
             return;
         }
-        let at = circuit as usize;
-        self.member[at / BITS] &= !(1 << (at % BITS));
+        let index = circuit as usize;
+        self.available[index / WORD_BITS] &= !(1 << (index % WORD_BITS));
         self.len -= 1;
         if self.order == Order::LeastRecent {
-            let (before, after) = self.links[at];
+            let (before, after) = self.links[index];
             match before {
-                NONE => self.ends.0 = after,
+                NO_CIRCUIT => self.list_ends.0 = after,
                 before => self.links[before as usize].1 = after,
             }
             match after {
-                NONE => self.ends.1 = before,
+                NO_CIRCUIT => self.list_ends.1 = before,
                 after => self.links[after as usize].0 = before,
             }
         } else if self.is_other(circuit) {
-            self.other.remove(at);
+            self.other.remove(index);
         } else {
-            self.own.remove(at);
+            self.own.remove(index);
         }
     }
 
-    /// The circuit to seize next; it stays in the set until it is removed.
+    /// Returns the circuit to seize next. It stays in the set until it is removed.
     pub fn choose(&mut self) -> Option<CircuitId> {
         let chosen = match self.order {
             Order::Lowest => self.own.first(),
             Order::Highest => self.own.last(),
-            Order::LeastRecent => (self.ends.0 != NONE).then_some(self.ends.0 as usize),
+            Order::LeastRecent => (self.list_ends.0 != NO_CIRCUIT).then_some(self.list_ends.0 as usize),
             Order::OwnFirst => self.own.first().or_else(|| self.other.last()),
-            Order::Cyclic => self.own.next(self.turn).or_else(|| self.own.first()),
+            Order::Cyclic => self.own.next(self.next_cyclic).or_else(|| self.own.first()),
         }?;
-        self.turn = chosen + 1;
+        self.next_cyclic = chosen + 1;
         Some(chosen as CircuitId)
     }
 
-    /// The circuit farthest from the one that would be chosen: where the other end is least likely to be.
-    pub fn choose_away(&mut self) -> Option<CircuitId> {
-        let away = match self.order {
+    /// Returns the circuit at the opposite end of the order, which the other end is least likely to select.
+    /// [`Order::OwnFirst`] already separates the ends and selects as usual.
+    pub fn choose_farthest(&mut self) -> Option<CircuitId> {
+        let farthest = match self.order {
             Order::Lowest | Order::Cyclic => self.own.last(),
             Order::Highest => self.own.first(),
-            Order::LeastRecent => (self.ends.1 != NONE).then_some(self.ends.1 as usize),
+            Order::LeastRecent => (self.list_ends.1 != NO_CIRCUIT).then_some(self.list_ends.1 as usize),
             Order::OwnFirst => return self.choose(),
         }?;
-        Some(away as CircuitId)
+        Some(farthest as CircuitId)
     }
 }
 
@@ -243,28 +248,28 @@
     use super::*;
     use proptest::prelude::*;
 
-    /// The same, by looking at every circuit.
-    struct Plain {
+    /// Reference model that scans every circuit.
+    struct LinearScan {
         order: Order,
         parity: u32,
         idle: Vec<bool>,
-        since: Vec<usize>,
-        turn: usize,
+        idle_since: Vec<usize>,
+        next_cyclic: usize,
     }
 
-    impl Plain {
+    impl LinearScan {
         fn choose(&mut self) -> Option<CircuitId> {
             let all: Vec<usize> = (0..self.idle.len()).filter(|c| self.idle[*c]).collect();
             let own = |c: &&usize| **c as u32 % 2 == self.parity;
             let chosen = match self.order {
                 Order::Lowest => all.first(),
                 Order::Highest => all.last(),
-                Order::LeastRecent => all.iter().min_by_key(|c| self.since[**c]),
+                Order::LeastRecent => all.iter().min_by_key(|c| self.idle_since[**c]),
                 Order::OwnFirst => all.iter().find(own).or_else(|| all.last()),
-                Order::Cyclic => all.iter().find(|c| **c >= self.turn).or_else(|| all.first()),
+                Order::Cyclic => all.iter().find(|c| **c >= self.next_cyclic).or_else(|| all.first()),
             };
             let chosen = *chosen?;
-            self.turn = chosen + 1;
+            self.next_cyclic = chosen + 1;
             Some(chosen as CircuitId)
         }
     }
@@ -273,42 +278,42 @@
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
         #[test]
-        fn every_order_chooses_as_a_plain_scan_does(
+        fn every_order_selects_as_a_linear_scan_does(
             order in proptest::sample::select(Order::ALL.to_vec()),
             size in 1u32..9000,
             parity in 0u32..2,
             steps in proptest::collection::vec((any::<bool>(), any::<u32>()), 1..200),
         ) {
             let mut selector = Selector::new(order, size, Some(parity));
-            let mut plain = Plain {
+            let mut reference = LinearScan {
                 order,
                 parity,
                 idle: vec![false; size as usize],
-                since: vec![0; size as usize],
-                turn: 0,
+                idle_since: vec![0; size as usize],
+                next_cyclic: 0,
             };
             for (clock, (add, pick)) in steps.into_iter().enumerate() {
                 let circuit = pick % size;
                 if add {
-                    if !plain.idle[circuit as usize] {
-                        plain.since[circuit as usize] = clock;
+                    if !reference.idle[circuit as usize] {
+                        reference.idle_since[circuit as usize] = clock;
                     }
-                    plain.idle[circuit as usize] = true;
+                    reference.idle[circuit as usize] = true;
                     selector.insert(circuit);
                 } else if let Some(chosen) = selector.choose() {
-                    prop_assert_eq!(Some(chosen), plain.choose());
-                    plain.idle[chosen as usize] = false;
+                    prop_assert_eq!(Some(chosen), reference.choose());
+                    reference.idle[chosen as usize] = false;
                     selector.remove(chosen);
                 } else {
-                    prop_assert_eq!(plain.choose(), None);
+                    prop_assert_eq!(reference.choose(), None);
                 }
-                prop_assert_eq!(selector.len(), plain.idle.iter().filter(|idle| **idle).count());
+                prop_assert_eq!(selector.len(), reference.idle.iter().filter(|idle| **idle).count());
             }
         }
     }
 
     #[test]
-    fn a_circuit_beyond_the_group_is_never_chosen() {
+    fn circuits_outside_the_group_are_never_selected() {
         let mut selector = Selector::new(Order::Lowest, 30, None);
         selector.insert(64);
         selector.remove(4_000_000);
