--- a/crates/lemoncleat-sip/src/lib.rs
+++ b/crates/lemoncleat-sip/src/lib.rs
@@ -1,8 +1,9 @@
-//! SIP messages (RFC 3261) without I/O: read from a stream in pieces, under hard limits, and written.
+//! SIP messages (RFC 3261) without I/O: an incremental stream parser with hard limits, and a writer.
 //!
-//! A [`Reader`] is given bytes as they come and yields whole [`Message`]s, the same ones however the bytes
-//! were split. What can't be read is told once as a [`Malformed`], after which the stream is of no use: its
-//! framing is lost. [`request`] and [`response`] write messages.
+//! A [`Reader`] takes bytes as they arrive and yields complete [`Message`]s, which do not depend on how the
+//! bytes were split. An input that cannot be parsed is reported as [`Malformed`]; the framing is then lost,
+//! and the stream cannot be read any further. [`request`] and [`response`] write messages. Section numbers in
+//! the comments refer to RFC 3261.
 //!
 //! ```
 //! use lemoncleat_sip::{request, response, Method, Reader};
@@ -10,7 +11,7 @@
 //! let invite = request(Method::Invite, "sip:42@net").header("Call-ID", "9b1f").header("CSeq", "1 INVITE").finish(b"hello");
 //! let mut reader = Reader::new();
 //! reader.push(&invite);
-//! let message = reader.next_message().expect("well formed").expect("whole");
+//! let message = reader.next_message().expect("well formed").expect("complete");
 //! assert_eq!((message.method(), message.call_id(), message.body()), (Some(&Method::Invite), Some("9b1f"), &b"hello"[..]));
 //!
 //! let busy = response(486, "Busy Here", &message).finish(b"");
--- a/crates/lemoncleat-sip/src/message.rs
+++ b/crates/lemoncleat-sip/src/message.rs
@@ -1,26 +1,26 @@
-//! A message that was read whole.
+//! Parsed messages.
 
-/// A method; those that this program speaks have names.
+/// A request method. The methods that this project uses have variants of their own.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Method {
-    /// A call is set up.
+    /// Sets up a call.
     Invite,
-    /// The final answer to an INVITE was heard.
+    /// Confirms the final response to an INVITE.
     Ack,
-    /// A set-up is given up.
+    /// Cancels a set-up in progress.
     Cancel,
-    /// A call is released.
+    /// Releases a call.
     Bye,
-    /// Is anybody there?
+    /// Checks that the peer responds.
     Options,
-    /// News nobody has to answer.
+    /// Notifies the peer of an event; this project does not require a response.
     Notify,
-    /// Any other token.
+    /// Any other method.
     Other(String),
 }
 
 impl Method {
-    /// The method of a token; methods are case-sensitive (7.1).
+    /// Returns the method named by a token; method names are case-sensitive (7.1).
     pub fn new(token: &str) -> Self {
         match token {
             "INVITE" => Method::Invite,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// As it stands on the wire.
+    /// Returns the name of the method as sent on the wire.
     pub fn as_str(&self) -> &str {
         match self {
             Method::Invite => "INVITE",
@@ -47,19 +47,19 @@
     }
 }
 
-/// The first line.
+/// The start line of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Start {
     /// A request.
     Request {
-        /// What is asked.
+        /// The request method.
         method: Method,
-        /// Of whom.
+        /// The Request-URI.
         uri: String,
     },
     /// A response.
     Response {
-        /// 100 to 699.
+        /// The status code, 100 to 699.
         code: u16,
     },
 }
@@ -67,13 +67,13 @@
 /// The value of a `CSeq` header (20.16).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CSeq {
-    /// The number within the call.
+    /// The sequence number within the call.
     pub number: u32,
     /// The method of the request.
     pub method: Method,
 }
 
-/// A message that was read whole.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
     pub(crate) start: Start,
@@ -82,12 +82,12 @@
 }
 
 impl Message {
-    /// Its first line.
+    /// Returns the start line.
     pub fn start(&self) -> &Start {
         &self.start
     }
 
-    /// The method, if it is a request.
+    /// Returns the method if the message is a request.
     pub fn method(&self) -> Option<&Method> {
         match &self.start {
             Start::Request { method, .. } => Some(method),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The status code, if it is a response.
+    /// Returns the status code if the message is a response.
     pub fn code(&self) -> Option<u16> {
         match self.start {
             Start::Response { code } => Some(code),
@@ -103,51 +103,52 @@
         }
     }
 
-    /// The user part of a request's `sip:` address.
+    /// Returns the user part of the Request-URI if the message is a request to a `sip:` URI.
     pub fn user(&self) -> Option<&str> {
         let Start::Request { uri, .. } = &self.start else { return None };
         let (user, host) = uri.strip_prefix("sip:")?.split_once('@')?;
         (!user.is_empty() && !host.is_empty()).then_some(user)
     }
 
-    /// All headers, in order, by their long names.
+    /// Returns all headers in order; compact names are replaced by their long forms.
     pub fn headers(&self) -> impl Iterator<Item = (&str, &str)> {
         self.headers.iter().map(|(name, value)| (name.as_str(), value.as_str()))
     }
 
-    /// The first header of a name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers().find(|(held, _)| held.eq_ignore_ascii_case(name)).map(|(_, value)| value)
+        self.headers().find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The header of a name that may stand only once; `None` if it is missing or stands more than once.
+    /// Returns the value of a header that may occur only once; `None` if it is missing or occurs more than
+    /// once.
     pub fn only(&self, name: &str) -> Option<&str> {
-        let mut all = self.headers().filter(|(held, _)| held.eq_ignore_ascii_case(name));
-        let (_, value) = all.next()?;
-        all.next().is_none().then_some(value)
+        let mut values = self.headers().filter(|(other, _)| other.eq_ignore_ascii_case(name));
+        let (_, value) = values.next()?;
+        values.next().is_none().then_some(value)
     }
 
-    /// The `Call-ID`.
+    /// Returns the `Call-ID`; `None` if it is empty, missing or repeated.
     pub fn call_id(&self) -> Option<&str> {
         self.only("Call-ID").filter(|id| !id.is_empty())
     }
 
-    /// The `CSeq`.
+    /// Returns the `CSeq`; `None` if it is malformed, missing or repeated.
     pub fn cseq(&self) -> Option<CSeq> {
         let (number, method) = self.only("CSeq")?.split_once([' ', '\t'])?;
-        // Below 2^31 (8.1.1.5); `parse` alone would take a sign.
-        let digits = number.bytes().all(|byte| byte.is_ascii_digit());
-        let number: u32 = number.parse().ok().filter(|number| digits && *number < 1 << 31)?;
+        // The number must be below 2^31 (8.1.1.5). `parse` alone would accept a sign.
+        let only_digits = number.bytes().all(|byte| byte.is_ascii_digit());
+        let number: u32 = number.parse().ok().filter(|number| only_digits && *number < 1 << 31)?;
         let method = method.trim();
         (!method.is_empty()).then(|| CSeq { number, method: Method::new(method) })
     }
 
-    /// The body.
+    /// Returns the body.
     pub fn body(&self) -> &[u8] {
         &self.body
     }
 
-    /// The body, taken out.
+    /// Consumes the message and returns its body.
     pub fn into_body(self) -> Vec<u8> {
         self.body
     }
--- a/crates/lemoncleat-sip/src/reader.rs
+++ b/crates/lemoncleat-sip/src/reader.rs
@@ -1,29 +1,29 @@
-//! Messages out of a stream (18.3): bytes in, whole messages out.
+//! Parses messages from a stream (18.3).
 
 use crate::message::{Message, Method, Start};
 
-/// The longest message, head and body together.
+/// Maximum length of a message in bytes, head and body together.
 pub const MAX_MESSAGE: usize = 16 * 1024;
-/// The most headers of a message.
+/// Maximum number of headers in a message.
 pub const MAX_HEADERS: usize = 64;
 
-/// What is wrong with a stream.
+/// The reason why a stream cannot be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The first line is neither a request's nor a response's.
+    /// The start line is neither a Request-Line nor a Status-Line.
     StartLine,
-    /// A line is no header, or holds what no header may.
+    /// A line is not a header, or contains characters that are not allowed in one.
     Header,
     /// More headers than [`MAX_HEADERS`].
     TooManyHeaders,
-    /// `Content-Length` is missing, stands twice with different values, or is no number.
+    /// `Content-Length` is missing, occurs with different values, or is not a number.
     ContentLength,
-    /// The message is, or says that it is, longer than [`MAX_MESSAGE`].
+    /// The message is longer than [`MAX_MESSAGE`], by its actual or its stated length.
     TooLong,
 }
 
 impl Fault {
-    /// For the log and the reason phrase of a refusal.
+    /// Returns a description for the log and for the reason phrase of the response.
     pub fn as_str(self) -> &'static str {
         match self {
             Fault::StartLine => "Bad Start Line",
@@ -35,77 +35,78 @@
     }
 }
 
-/// A stream whose framing is lost.
+/// The error after which the framing of a stream is lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Malformed {
-    /// What is wrong.
+    /// The reason.
     pub fault: Fault,
-    /// The head, as far as it could be read, to answer to.
+    /// The head as far as it could be parsed, for use in an error response.
     pub head: Option<Box<Message>>,
 }
 
-/// Reads the messages of one stream.
+/// Incremental parser of the messages on one stream.
 #[derive(Clone, Debug, Default)]
 pub struct Reader {
     buffer: Vec<u8>,
-    /// Bytes of the buffer that no end of a head begins in.
+    /// Length of the prefix of the buffer that has been searched for the end of a head.
     scanned: usize,
-    /// The first line in the buffer is whole and was found good.
-    started: bool,
-    /// A head that was read; its body is still coming.
+    /// Whether the start line in the buffer is complete and has been checked.
+    start_line_checked: bool,
+    /// A parsed head whose body is incomplete, and the length of that body.
     head: Option<(Message, usize)>,
-    broken: Option<Malformed>,
+    error: Option<Malformed>,
 }
 
 impl Reader {
-    /// A reader at the beginning of a stream.
+    /// Creates a reader at the beginning of a stream.
     pub fn new() -> Self {
         Reader::default()
     }
 
-    /// Takes bytes in. To keep memory bounded, ask for messages after each piece.
+    /// Appends bytes to the buffer. Call [`Reader::next_message`] after each piece to keep memory bounded.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.broken.is_none() {
+        if self.error.is_none() {
             self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Whether the beginning of a message is held whose rest has not come.
+    /// Returns whether the buffer contains an incomplete message.
     pub fn is_partial(&self) -> bool {
         self.head.is_some() || !self.buffer.is_empty()
     }
 
-    /// Bytes held.
+    /// Returns the number of buffered bytes.
     pub fn held(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether what is held behind the last message can still become a message's beginning.
+    /// Returns whether the buffered bytes after the last message can still be the beginning of a message. If
+    /// they cannot, the length of the last message was wrong.
     pub fn follows_well(&self) -> bool {
         let rest = skip_empty_lines(&self.buffer);
         if rest == b"\r" {
-            return true; // Half an empty line.
+            return true; // Half of an empty line.
         }
         let line = rest.split(|byte| *byte == b'\r' || *byte == b'\n').next().unwrap_or_default();
-        let ended = line.len() < rest.len();
-        if ended {
-            return std::str::from_utf8(line).is_ok_and(|line| start_line(line).is_ok());
+        let line_ended = line.len() < rest.len();
+        if line_ended {
+            return std::str::from_utf8(line).is_ok_and(|line| parse_start_line(line).is_ok());
         }
-        line.iter().copied().all(is_text) && line.first().is_none_or(|byte| is_token(*byte))
+        line.iter().copied().all(is_start_line_byte) && line.first().is_none_or(|byte| is_token_byte(*byte))
     }
 
-    /// The next whole message; `None` when more bytes are needed.
+    /// Returns the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// When the stream can't be read any further; the same is told ever after.
+    /// Fails if the stream cannot be parsed any further. All later calls return the same error.
     pub fn next_message(&mut self) -> Result<Option<Message>, Malformed> {
-        if let Some(broken) = &self.broken {
-            return Err(broken.clone());
+        if let Some(error) = &self.error {
+            return Err(error.clone());
         }
         let next = self.advance();
         if let Err(malformed) = &next {
-            self.broken = Some(malformed.clone());
+            self.error = Some(malformed.clone());
             self.buffer = Vec::new();
             self.head = None;
         } else if self.buffer.is_empty() && self.buffer.capacity() > MAX_MESSAGE {
@@ -116,7 +117,7 @@
 
     fn advance(&mut self) -> Result<Option<Message>, Malformed> {
         if self.head.is_none() {
-            let Some((head, length)) = self.head()? else { return Ok(None) };
+            let Some((head, length)) = self.take_head()? else { return Ok(None) };
             self.head = Some((head, length));
         }
         let Some((_, length)) = &self.head else { return Ok(None) };
@@ -128,39 +129,43 @@
         Ok(self.head.take().map(|(head, _)| Message { body, ..head }))
     }
 
-    /// Whether a head that is not whole can still become one. Looks at each byte of its first line once, and
-    /// twice when the line ends, however small the pieces are.
-    fn begins_well(&mut self) -> bool {
-        if self.started {
+    /// Returns whether an incomplete head can still become a valid one. However small the pieces are, it
+    /// examines each byte of the start line at most twice: once on arrival and once when the line is
+    /// complete.
+    fn can_become_valid_head(&mut self) -> bool {
+        if self.start_line_checked {
             return true;
         }
-        let fresh = &self.buffer[self.scanned..];
-        let ends = fresh.iter().any(|byte| matches!(byte, b'\r' | b'\n'));
-        if self.scanned > 0 && !ends {
-            return fresh.iter().copied().all(is_text);
+        let unscanned = &self.buffer[self.scanned..];
+        let line_ended = unscanned.iter().any(|byte| matches!(byte, b'\r' | b'\n'));
+        if self.scanned > 0 && !line_ended {
+            return unscanned.iter().copied().all(is_start_line_byte);
         }
-        self.started = ends;
+        self.start_line_checked = line_ended;
         self.follows_well()
     }
 
-    /// Reads a head off the buffer, with the length of its body.
-    fn head(&mut self) -> Result<Option<(Message, usize)>, Malformed> {
+    /// Removes a complete head from the buffer and returns it with the length of its body.
+    fn take_head(&mut self) -> Result<Option<(Message, usize)>, Malformed> {
         let fault = |fault| Malformed { fault, head: None };
         if self.scanned == 0 {
-            // Empty lines before a message are keep-alives (7.5).
+            // Empty lines before the start line are ignored (7.5); peers send them as keep-alives.
             let skip = self.buffer.len() - skip_empty_lines(&self.buffer).len();
             self.buffer.drain(..skip);
         }
         if self.buffer == b"\r" {
             return Ok(None);
         }
-        let from = self.scanned.saturating_sub(3);
-        let end = self.buffer[from..].windows(4).position(|four| four == b"\r\n\r\n").map(|at| from + at);
+        let search_start = self.scanned.saturating_sub(3);
+        let end = self.buffer[search_start..]
+            .windows(4)
+            .position(|window| window == b"\r\n\r\n")
+            .map(|at| search_start + at);
         let Some(end) = end else {
             if self.buffer.len() > MAX_MESSAGE {
                 return Err(fault(Fault::TooLong));
             }
-            if !self.begins_well() {
+            if !self.can_become_valid_head() {
                 return Err(fault(Fault::StartLine));
             }
             self.scanned = self.buffer.len();
@@ -170,17 +175,17 @@
             return Err(fault(Fault::TooLong));
         }
         let text = std::str::from_utf8(&self.buffer[..end]).map_err(|_| fault(Fault::Header))?;
-        let (message, found) = head(text).map_err(fault)?;
-        let told = |fault| Malformed { fault, head: Some(Box::new(message.clone())) };
-        if let Some(found) = found {
-            return Err(told(found));
+        let (message, first_fault) = parse_head(text).map_err(fault)?;
+        let with_head = |fault| Malformed { fault, head: Some(Box::new(message.clone())) };
+        if let Some(first_fault) = first_fault {
+            return Err(with_head(first_fault));
         }
-        let length = content_length(&message).map_err(told)?;
-        if length.checked_add(end + 4).is_none_or(|whole| whole > MAX_MESSAGE) {
-            return Err(told(Fault::TooLong));
+        let length = content_length(&message).map_err(with_head)?;
+        if length.checked_add(end + 4).is_none_or(|total| total > MAX_MESSAGE) {
+            return Err(with_head(Fault::TooLong));
         }
         self.buffer.drain(..end + 4);
-        (self.scanned, self.started) = (0, false);
+        (self.scanned, self.start_line_checked) = (0, false);
         Ok(Some((message, length)))
     }
 }
@@ -192,23 +197,23 @@
     bytes
 }
 
-/// What may stand in a first line, as far as single bytes tell.
-fn is_text(byte: u8) -> bool {
+/// Returns whether a byte may occur in a start line.
+fn is_start_line_byte(byte: u8) -> bool {
     matches!(byte, b'\t' | b' '..=b'~' | 0x80..)
 }
 
-/// Characters of a token (25.1).
-fn is_token(byte: u8) -> bool {
+/// Returns whether a byte may occur in a token (25.1).
+fn is_token_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || b"-.!%*_+`'~".contains(&byte)
 }
 
-fn start_line(line: &str) -> Result<Start, Fault> {
+fn parse_start_line(line: &str) -> Result<Start, Fault> {
     if let Some(rest) = line.strip_prefix("SIP/2.0 ") {
         let code = rest.get(..3).filter(|code| code.bytes().all(|byte| byte.is_ascii_digit()));
         let code: u16 = code.and_then(|code| code.parse().ok()).ok_or(Fault::StartLine)?;
         let phrase = rest.get(3..).unwrap_or_default();
-        let well = (100..700).contains(&code) && (phrase.is_empty() || phrase.starts_with(' '));
-        return if well { Ok(Start::Response { code }) } else { Err(Fault::StartLine) };
+        let valid = (100..700).contains(&code) && (phrase.is_empty() || phrase.starts_with(' '));
+        return if valid { Ok(Start::Response { code }) } else { Err(Fault::StartLine) };
     }
     let mut parts = line.split(' ');
     let (Some(method), Some(uri), Some("SIP/2.0"), None) =
@@ -216,57 +221,57 @@
     else {
         return Err(Fault::StartLine);
     };
-    if method.is_empty() || !method.bytes().all(is_token) || uri.is_empty() {
+    if method.is_empty() || !method.bytes().all(is_token_byte) || uri.is_empty() {
         return Err(Fault::StartLine);
     }
     Ok(Start::Request { method: Method::new(method), uri: uri.to_owned() })
 }
 
-/// A head without its last empty line, and the first fault among its headers. The whole of it is read all the
-/// same, so that a refusal can name the call.
-fn head(text: &str) -> Result<(Message, Option<Fault>), Fault> {
+/// Parses a head without its final empty line and returns it with the first fault among its headers. Parsing
+/// continues after such a fault, so that an error response can name the call.
+fn parse_head(text: &str) -> Result<(Message, Option<Fault>), Fault> {
     if text.bytes().any(|byte| byte == 0x7f || byte < b' ' && !matches!(byte, b'\t' | b'\r' | b'\n')) {
         return Err(Fault::Header);
     }
     let mut lines = text.split("\r\n");
-    let start = start_line(lines.next().unwrap_or_default())?;
+    let start = parse_start_line(lines.next().unwrap_or_default())?;
     let mut headers: Vec<(String, String)> = Vec::new();
-    let mut found = None;
+    let mut first_fault = None;
     for line in lines {
         if line.contains(['\r', '\n']) {
-            found = found.or(Some(Fault::Header));
+            first_fault = first_fault.or(Some(Fault::Header));
             continue;
         }
         if line.starts_with([' ', '\t']) {
-            // A folded line goes on with the value before it (7.3.1).
+            // A folded line continues the previous value (7.3.1).
             match headers.last_mut() {
                 Some((_, value)) => {
                     value.push(' ');
                     value.push_str(line.trim());
                 }
-                None => found = found.or(Some(Fault::Header)),
+                None => first_fault = first_fault.or(Some(Fault::Header)),
             }
             continue;
         }
         if headers.len() == MAX_HEADERS {
-            found = found.or(Some(Fault::TooManyHeaders));
+            first_fault = first_fault.or(Some(Fault::TooManyHeaders));
             break;
         }
         match line.split_once(':') {
-            Some((name, value)) if is_name(name.trim_end()) => {
+            Some((name, value)) if is_header_name(name.trim_end()) => {
                 headers.push((long_name(name.trim_end()).to_owned(), value.trim().to_owned()));
             }
-            _ => found = found.or(Some(Fault::Header)),
+            _ => first_fault = first_fault.or(Some(Fault::Header)),
         }
     }
-    Ok((Message { start, headers, body: Vec::new() }, found))
+    Ok((Message { start, headers, body: Vec::new() }, first_fault))
 }
 
-fn is_name(name: &str) -> bool {
-    !name.is_empty() && name.bytes().all(is_token)
+fn is_header_name(name: &str) -> bool {
+    !name.is_empty() && name.bytes().all(is_token_byte)
 }
 
-/// The long form of a compact name (7.3.3, 20).
+/// Returns the long form of a compact header name (7.3.3, 20).
 fn long_name(name: &str) -> &str {
     match name {
         "i" | "I" => "Call-ID",
@@ -292,9 +297,9 @@
         if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
             return Err(Fault::ContentLength);
         }
-        // More digits than a number holds are more bytes than a message may have.
+        // A number that overflows also exceeds the maximum length.
         let value: usize = value.parse().map_err(|_| Fault::TooLong)?;
-        if length.is_some_and(|held| held != value) {
+        if length.is_some_and(|previous| previous != value) {
             return Err(Fault::ContentLength);
         }
         length = Some(value);
