--- a/crates/lemoncleat-core/src/deadline.rs
+++ b/crates/lemoncleat-core/src/deadline.rs
@@ -1,11 +1,11 @@
-//! A caller's deadline.
+//! The deadline of a caller and the times derived from it.
 
-use crate::wheel::TICK;
+use crate::wheel::TICK_US;
 use crate::Micros;
 
-/// When a caller gives up, and the moments before it that the node keeps so that its answer arrives in time:
-/// the module answers by [`Deadline::answer_by`], the node's last guard acts at [`Deadline::last_moment`], and
-/// after [`Deadline::door`] no answer leaves any more.
+/// The time at which a caller gives up, and the earlier limits that the node observes so that its answer
+/// arrives before it: the module answers by [`Deadline::answer_by`], the node itself fails the call at
+/// [`Deadline::last_moment`], and no answer is sent after [`Deadline::door`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadline {
     at: Micros,
@@ -13,24 +13,26 @@
 }
 
 impl Deadline {
-    /// The deadline of a request that arrived at a moment and whose caller waits for `patience`. A margin of more
-    /// than half of that is cut.
+    /// Creates the deadline of a request that arrived at `arrived` and whose caller waits for `patience`. The
+    /// margin is limited to half of `patience`.
     pub fn new(arrived: Micros, patience: Micros, margin: Micros) -> Self {
         Deadline { at: arrived + patience, margin: margin.min(patience / 2) }
     }
 
-    /// By when the module is to have answered: the whole margin before the deadline.
+    /// Returns the time by which the module has to answer: the full margin before the deadline.
     pub fn answer_by(self) -> Micros {
         self.at - self.margin
     }
 
-    /// When a call without an answer is failed: half the margin before the deadline, and early enough that a timer
-    /// that is a tick late still finds the door open.
+    /// Returns the time at which a call without an answer is failed: half the margin before the deadline, and
+    /// at least one tick before [`Deadline::door`], so that the answer can still be sent if the timer is a
+    /// tick late.
     pub fn last_moment(self) -> Micros {
-        (self.at - self.margin / 2).min(self.door() - TICK)
+        (self.at - self.margin / 2).min(self.door() - TICK_US)
     }
 
-    /// After this no answer leaves: a quarter of the margin before the deadline, for its way to the caller.
+    /// Returns the time after which no answer is sent: a quarter of the margin before the deadline, which
+    /// leaves time for transmission to the caller.
     pub fn door(self) -> Micros {
         self.at - self.margin / 4
     }
--- a/crates/lemoncleat-core/src/lib.rs
+++ b/crates/lemoncleat-core/src/lib.rs
@@ -1,4 +1,5 @@
-//! What every front of an access node needs below it: the timer [`Wheel`] and a caller's [`Deadline`].
+//! Types shared by the protocol front ends of an access node: the timer [`Wheel`] and a caller's
+//! [`Deadline`].
 
 mod deadline;
 mod wheel;
@@ -6,5 +7,5 @@
 pub use deadline::Deadline;
 pub use wheel::{TimerKey, Wheel};
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-core/src/wheel.rs
+++ b/crates/lemoncleat-core/src/wheel.rs
@@ -1,4 +1,5 @@
-//! A hierarchical timer wheel: setting and cancelling cost the same however many timers there are.
+//! A hierarchical timer wheel: setting and cancelling take constant time, independent of the number of
+//! timers.
 //!
 //! Six levels of 64 slots each (after Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987);
 //! a slot of the lowest level is one tick of 1,024 microseconds. A timer never fires early and at most one
@@ -10,11 +11,11 @@
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
 const TICK_BITS: u32 = 10;
-/// A timer fires so much late at most.
-pub(crate) const TICK: Micros = 1 << TICK_BITS;
-const NONE: u32 = u32::MAX;
+/// The resolution of the wheel: the maximum delay with which a timer fires.
+pub(crate) const TICK_US: Micros = 1 << TICK_BITS;
+const NO_ENTRY: u32 = u32::MAX;
 
-/// Names a timer that was set; it grows stale once the timer fired or was cancelled.
+/// Identifies a timer. The key becomes invalid when the timer fires or is cancelled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TimerKey {
     index: u32,
@@ -31,7 +32,7 @@
     generation: u32,
 }
 
-/// Timers that carry a `T` each.
+/// A set of timers, each with an item of type `T`.
 #[derive(Debug)]
 pub struct Wheel<T> {
     entries: Vec<Entry<T>>,
@@ -51,38 +52,38 @@
 }
 
 impl<T> Wheel<T> {
-    /// A wheel whose clock stands at zero.
+    /// Creates an empty wheel at time zero.
     pub fn new() -> Self {
         Wheel {
             entries: Vec::new(),
-            free: NONE,
+            free: NO_ENTRY,
             len: 0,
-            slots: vec![(NONE, NONE); LEVELS * SLOTS],
+            slots: vec![(NO_ENTRY, NO_ENTRY); LEVELS * SLOTS],
             occupied: [0; LEVELS],
             tick: 0,
         }
     }
 
-    /// How many timers are set.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none is set.
+    /// Returns whether no timer is pending.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Sets a timer. A moment that has passed fires at the next [`Wheel::pop`].
+    /// Sets a timer. A timer whose time has passed fires at the next [`Wheel::pop`].
     pub fn set(&mut self, at: Micros, item: T) -> TimerKey {
         let ticks = (at.max(0) as u64).div_ceil(1 << TICK_BITS).max(self.tick);
-        let index = if self.free == NONE {
+        let index = if self.free == NO_ENTRY {
             self.entries.push(Entry {
                 tick: 0,
                 item: None,
                 slot: 0,
-                previous: NONE,
-                next: NONE,
+                previous: NO_ENTRY,
+                next: NO_ENTRY,
                 generation: 0,
             });
             (self.entries.len() - 1) as u32
@@ -100,7 +101,7 @@
         TimerKey { index, generation }
     }
 
-    /// Takes a timer back; `None` if it fired or was cancelled before.
+    /// Cancels a timer and returns its item; `None` if it has already fired or been cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.index as usize)?;
         if entry.generation != key.generation || entry.item.is_none() {
@@ -110,7 +111,8 @@
         self.release(key.index)
     }
 
-    /// A moment by which to call [`Wheel::pop`]: that of the first timer, or one before it.
+    /// Returns the time by which to call [`Wheel::pop`]: that of the first timer, or an earlier one. `None`
+    /// if no timer is pending.
     pub fn wake(&self) -> Option<Micros> {
         let mut first: Option<u64> = None;
         for level in 0..LEVELS {
@@ -119,15 +121,15 @@
                 continue;
             }
             let shift = SLOT_BITS * level as u32;
-            let here = (self.tick >> shift) as usize & (SLOTS - 1);
-            let turned = bits.rotate_right(here as u32);
-            // On upper levels the slot of the present holds timers a whole turn away: it comes last.
-            let ahead = match turned & !1 {
-                _ if level == 0 => turned.trailing_zeros(),
+            let current_slot = (self.tick >> shift) as usize & (SLOTS - 1);
+            let rotated = bits.rotate_right(current_slot as u32);
+            // On upper levels the current slot holds timers a full rotation ahead, so it is considered last.
+            let slots_ahead = match rotated & !1 {
+                _ if level == 0 => rotated.trailing_zeros(),
                 0 => SLOTS as u32,
                 others => others.trailing_zeros(),
             };
-            let start = ((self.tick >> shift) + u64::from(ahead)) << shift;
+            let start = ((self.tick >> shift) + u64::from(slots_ahead)) << shift;
             let start = start.max(self.tick);
             if first.is_none_or(|first| start < first) {
                 first = Some(start);
@@ -136,20 +138,22 @@
         first.map(|tick| (tick << TICK_BITS) as Micros)
     }
 
-    /// The next timer that is due; timers of one tick come in the order in which they reached it.
+    /// Removes and returns the item of the next expired timer. Timers of the same tick are returned in the
+    /// order in which they were placed in its slot.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         let target = (now.max(0) as u64) >> TICK_BITS;
         loop {
             let slot = self.tick as usize & (SLOTS - 1);
             let (first, _) = self.slots[slot];
-            if first != NONE && self.tick <= target {
+            if first != NO_ENTRY && self.tick <= target {
                 self.unlink(first);
                 return self.release(first);
             }
             if self.tick >= target || self.len == 0 {
                 self.tick = self.tick.max(target);
                 if self.len > 0 {
-                    // Stopping on a slot's edge: what lies in the upper levels for it comes down now.
+                    // If the tick is a slot boundary, timers of the upper levels that begin here must move
+                    // down.
                     self.cascade();
                 }
                 return None;
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Brings the timers of upper slots that begin at the present tick down.
+    /// Moves the timers of upper-level slots that begin at the current tick to lower levels.
     fn cascade(&mut self) {
         for level in (1..LEVELS).rev() {
             let shift = SLOT_BITS * level as u32;
@@ -168,9 +172,9 @@
                 continue;
             }
             let slot = level * SLOTS + ((self.tick >> shift) as usize & (SLOTS - 1));
-            let (mut index, _) = std::mem::replace(&mut self.slots[slot], (NONE, NONE));
+            let (mut index, _) = std::mem::replace(&mut self.slots[slot], (NO_ENTRY, NO_ENTRY));
             self.occupied[level] &= !(1 << (slot % SLOTS));
-            while index != NONE {
+            while index != NO_ENTRY {
                 let next = self.entries[index as usize].next;
                 self.link(index);
                 index = next;
@@ -180,27 +184,27 @@
 
     fn link(&mut self, index: u32) {
         let tick = self.entries[index as usize].tick.max(self.tick);
-        let ahead = tick - self.tick;
+        let ticks_ahead = tick - self.tick;
         let mut level = 0;
-        while level + 1 < LEVELS && ahead >> (SLOT_BITS * (level as u32 + 1)) != 0 {
+        while level + 1 < LEVELS && ticks_ahead >> (SLOT_BITS * (level as u32 + 1)) != 0 {
             level += 1;
         }
         let shift = SLOT_BITS * level as u32;
-        let most = (1u64 << (SLOT_BITS * LEVELS as u32)) - 1;
-        let place = ((self.tick + ahead.min(most)) >> shift) as usize & (SLOTS - 1);
-        let slot = level * SLOTS + place;
+        let max_ticks = (1u64 << (SLOT_BITS * LEVELS as u32)) - 1;
+        let position = ((self.tick + ticks_ahead.min(max_ticks)) >> shift) as usize & (SLOTS - 1);
+        let slot = level * SLOTS + position;
         let (first, last) = self.slots[slot];
         let entry = &mut self.entries[index as usize];
         entry.slot = slot as u16;
         entry.previous = last;
-        entry.next = NONE;
-        if last == NONE {
+        entry.next = NO_ENTRY;
+        if last == NO_ENTRY {
             self.slots[slot] = (index, index);
         } else {
             self.entries[last as usize].next = index;
             self.slots[slot] = (first, index);
         }
-        self.occupied[level] |= 1 << place;
+        self.occupied[level] |= 1 << position;
     }
 
     fn unlink(&mut self, index: u32) {
@@ -209,14 +213,14 @@
             (entry.slot as usize, entry.previous, entry.next)
         };
         match previous {
-            NONE => self.slots[slot].0 = next,
+            NO_ENTRY => self.slots[slot].0 = next,
             before => self.entries[before as usize].next = next,
         }
         match next {
-            NONE => self.slots[slot].1 = previous,
+            NO_ENTRY => self.slots[slot].1 = previous,
             after => self.entries[after as usize].previous = previous,
         }
-        if self.slots[slot].0 == NONE {
+        if self.slots[slot].0 == NO_ENTRY {
             self.occupied[slot / SLOTS] &= !(1 << (slot % SLOTS));
         }
     }
@@ -238,7 +242,7 @@
     use proptest::prelude::*;
 
     #[test]
-    fn timers_fire_in_order_never_early_and_a_cancelled_one_never() {
+    fn timers_fire_in_order_and_not_early_or_after_cancellation() {
         let mut wheel = Wheel::new();
         wheel.set(5_000_000, 'c');
         let b = wheel.set(70_000, 'b');
@@ -253,7 +257,7 @@
     }
 
     #[test]
-    fn a_stale_key_does_not_cancel_the_timer_that_took_its_place() {
+    fn stale_key_does_not_cancel_a_timer_that_reuses_its_entry() {
         let mut wheel = Wheel::new();
         let old = wheel.set(1, 'a');
         assert_eq!(wheel.pop(10_000), Some('a'));
@@ -263,48 +267,48 @@
     }
 
     #[test]
-    fn a_timer_beyond_the_wheel_comes_around() {
+    fn timer_beyond_the_range_of_the_wheel_fires_on_time() {
         let mut wheel = Wheel::new();
-        let far = 1i64 << 50;
-        wheel.set(far, 'z');
-        assert_eq!(wheel.pop(far - 1024), None);
-        assert_eq!(wheel.pop(far + 1024), Some('z'));
+        let at = 1i64 << 50;
+        wheel.set(at, 'z');
+        assert_eq!(wheel.pop(at - 1024), None);
+        assert_eq!(wheel.pop(at + 1024), Some('z'));
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
         #[test]
-        fn it_fires_what_a_sorted_list_fires(
+        fn wheel_fires_the_same_timers_as_a_list(
             steps in proptest::collection::vec((0u8..10, 0i64..400_000_000, any::<u16>()), 1..200)
         ) {
             let mut wheel = Wheel::new();
             let mut list: Vec<(Micros, usize, TimerKey)> = Vec::new();
             let mut now = 0;
-            for (name, (kind, span, pick)) in steps.into_iter().enumerate() {
+            for (id, (kind, duration, pick)) in steps.into_iter().enumerate() {
                 match kind {
                     0..=4 => {
-                        // Spans of all sizes, so that every level is used.
-                        let at = now + (span >> (pick % 28));
-                        let key = wheel.set(at, name);
-                        list.push((at, name, key));
+                        // Durations of all magnitudes, so that every level is used.
+                        let at = now + (duration >> (pick % 28));
+                        let key = wheel.set(at, id);
+                        list.push((at, id, key));
                     }
                     5 if !list.is_empty() => {
-                        let (_, name, key) = list.swap_remove(usize::from(pick) % list.len());
-                        prop_assert_eq!(wheel.cancel(key), Some(name));
+                        let (_, id, key) = list.swap_remove(usize::from(pick) % list.len());
+                        prop_assert_eq!(wheel.cancel(key), Some(id));
                     }
                     _ => {
                         if let Some(wake) = wheel.wake() {
                             let first = list.iter().map(|(at, ..)| *at).min().unwrap_or(0);
-                            prop_assert!(wake <= first.max(now) + 1024, "asked to wake too late");
+                            prop_assert!(wake <= first.max(now) + 1024, "wake-up time is too late");
                         }
-                        now += span >> (pick % 28);
-                        while let Some(name) = wheel.pop(now) {
-                            let place = list.iter().position(|(_, n, _)| *n == name);
-                            let (at, ..) = list.swap_remove(place.expect("a timer that is set"));
+                        now += duration >> (pick % 28);
+                        while let Some(id) = wheel.pop(now) {
+                            let position = list.iter().position(|(_, other, _)| *other == id);
+                            let (at, ..) = list.swap_remove(position.expect("a pending timer"));
                             prop_assert!(at <= now, "fired early");
                         }
-                        prop_assert!(list.iter().all(|(at, ..)| at + 1024 > now), "one is overdue");
+                        prop_assert!(list.iter().all(|(at, ..)| at + 1024 > now), "an expired timer is pending");
                     }
                 }
                 prop_assert_eq!(wheel.len(), list.len());
--- a/crates/lemoncleat-core/tests/deadline.rs
+++ b/crates/lemoncleat-core/tests/deadline.rs
@@ -1,12 +1,12 @@
-//! The moments before a caller's deadline.
+//! The times derived from a caller's deadline.
 
 use lemoncleat_core::Deadline;
 
-/// A timer is at most this late, in microseconds.
-const TICK: i64 = 1_024;
+/// The maximum delay with which a timer fires.
+const TICK_US: i64 = 1_024;
 
 #[test]
-fn the_moments_come_in_order_and_before_the_deadline() {
+fn limits_are_ordered_and_precede_the_deadline() {
     let deadline = Deadline::new(1_000_000, 3_000_000, 30_000);
     assert_eq!(
         (deadline.answer_by(), deadline.last_moment(), deadline.door()),
@@ -15,9 +15,9 @@
 }
 
 #[test]
-fn a_patience_shorter_than_the_margin_leaves_half_of_itself() {
+fn margin_is_limited_to_half_of_the_patience() {
     let deadline = Deadline::new(0, 20_000, 30_000);
     assert_eq!((deadline.answer_by(), deadline.door()), (10_000, 17_500));
-    assert_eq!(Deadline::new(10_000, 1_000, 30_000).last_moment() + TICK, 10_875);
-    assert_eq!(Deadline::new(5, 0, 30_000).door(), 5, "an answer at once is still one in time");
+    assert_eq!(Deadline::new(10_000, 1_000, 30_000).last_moment() + TICK_US, 10_875);
+    assert_eq!(Deadline::new(5, 0, 30_000).door(), 5, "an immediate answer is still in time");
 }
