--- a/crates/lemoncleat-node/src/call.rs
+++ b/crates/lemoncleat-node/src/call.rs
@@ -1,4 +1,4 @@
-//! A call's record.
+//! The state that the node keeps for each call.
 
 use std::sync::Arc;
 
@@ -9,31 +9,31 @@
 use crate::{ConnId, Micros, TimerKey};
 use lemoncleat_core::Deadline;
 
-/// A call that came from a client and has not ended.
+/// A call received from a client that has not ended.
 #[derive(Debug)]
 pub(crate) struct Call {
-    /// Its Session-Id.
+    /// The call's Session-Id.
     pub session: Arc<str>,
-    /// The client, and the connection and Hop-by-Hop Identifier of its latest transmission.
+    /// The client, and the connection and Hop-by-Hop Identifier of the latest transmission of its request.
     pub client: PeerId,
     pub conn: ConnId,
     pub hop_by_hop: u32,
     pub request: EndToEnd,
-    /// The request's bytes, from which attempts are made; dropped once the call stands.
+    /// The encoded request, from which the attempts are built; dropped once the call is established.
     pub bytes: Box<[u8]>,
     /// When the caller gives up.
     pub deadline: Deadline,
     pub deadline_timer: Option<TimerKey>,
     pub attempts: u32,
-    pub out: Option<Attempt>,
+    pub pending: Option<Attempt>,
     pub standing: Option<(ServerId, PeerId)>,
-    /// The circuit that it stands on.
+    /// The circuit that the established call occupies.
     pub circuit: Option<u32>,
-    /// Its answer was given while the client was away.
-    pub unheard: bool,
+    /// Whether the answer was produced while the client was disconnected.
+    pub answer_undelivered: bool,
 }
 
-/// An attempt that is out.
+/// An attempt that the server has not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
     pub server: ServerId,
@@ -42,27 +42,27 @@
     pub number: u32,
     pub sent: Micros,
     pub timer: TimerKey,
-    /// The circuit that is seized for it, on servers with a trunk group.
+    /// The circuit that is seized for the attempt, on servers with a trunk group.
     pub circuit: Option<u32>,
-    /// How often it lost a circuit to the other end.
+    /// How many times the attempt lost a circuit to a dual seizure by the other end.
     pub yields: u32,
 }
 
-/// A request of the node that a peer has not answered yet.
+/// A request sent by this node that the peer has not answered yet.
 #[derive(Clone, Debug)]
 pub(crate) enum Request {
-    /// An attempt that is out.
+    /// The set-up of an attempt, unanswered so far.
     SetUp { call: u64, token: Option<u32> },
-    /// An attempt that was given up; a success that comes late is released.
-    GivenUp { session: Arc<str>, token: Option<u32> },
-    /// A release. One that stays unanswered is sent again: nobody else would end the session.
+    /// An attempt that was given up. If a success arrives late, the session is released.
+    Abandoned { session: Arc<str>, token: Option<u32> },
+    /// A release. It is sent again while it stays unanswered, because nothing else would end the session.
     Release { session: Arc<str>, cause: u32, tries: u32 },
-    /// A release or supervision of circuits; the group waits for its reply.
+    /// A release or supervision request for circuits; the trunk group waits for its reply.
     Circuits { token: u32 },
-    /// The set-up of a server's call, at a client.
+    /// The set-up of a server's call, sent to a client.
     Incoming { server: PeerId, circuit: u32, call: u64 },
-    /// A word for a member of the fleet; its answer only makes room for the next ones.
-    Word,
-    /// A client was told that its call is cut; nothing depends on its answer.
+    /// A message to a member of the fleet. Its answer only frees a slot for further messages.
+    FleetWord,
+    /// An Abort-Session-Request to a client; nothing depends on its answer.
     Abort,
 }
--- a/crates/lemoncleat-node/src/lib.rs
+++ b/crates/lemoncleat-node/src/lib.rs
@@ -1,11 +1,11 @@
-//! The core of an access node, without I/O: Diameter in and out on one side, the decision module of
-//! `lemoncleat` on the other.
+//! The core of an access node, without I/O: it translates between Diameter messages and the decision module
+//! of `lemoncleat`.
 //!
-//! A driver owns sockets and the clock. It tells a [`Node`] what happened with [`Node::handle`] and carries
-//! out the [`Output`]s; the node decides nothing itself: which server a call goes to, when an attempt is
-//! given up, and when a call is refused, all come from the module.
+//! A driver owns the sockets and the clock. It reports events to a [`Node`] with [`Node::handle`] and carries
+//! out the [`Output`]s. The node makes no routing decisions itself: the module decides which server a call
+//! goes to, when an attempt is given up and when a call is refused.
 //!
-//! [`NumberingPlan`] finds the class and pool of first choice of a number, [`Wheel`] holds the timers.
+//! [`NumberingPlan`] maps a number to its class and its pool of first choice; [`Wheel`] holds the timers.
 
 mod call;
 mod list;
@@ -18,7 +18,9 @@
 mod translate;
 
 pub use list::{ListEntry, ListNews};
-pub use node::{CircuitOrder, CircuitStatus, GroupStatus, Input, Node, Output, PeerId, Stats, WORD_MOST};
+pub use node::{
+    CircuitOrder, CircuitStatus, GroupStatus, Input, Node, Output, PeerId, Stats, MAX_WORD_BYTES,
+};
 pub use notice::{Level, Notice};
 pub use plan::{NumberingPlan, Route};
 pub use settings::{CircuitSettings, MemberPeer, NodeSettings, Timing};
--- a/crates/lemoncleat-node/src/list.rs
+++ b/crates/lemoncleat-node/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of servers, as it reaches the node.
+//! The server list as it is delivered to the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,30 +7,30 @@
 
 use crate::Micros;
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// The server's Origin-Host; it names the server.
+    /// The server's Origin-Host, which identifies it.
     pub host: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Whether it takes work.
+    /// Whether it accepts new work.
     pub availability: Availability,
-    /// How long ago its process started, where that is lately.
+    /// How long ago its process started, if that was recently.
     pub started_ago: Option<Micros>,
     /// The number of its place (pool).
     pub place: i64,
     /// Its zone.
     pub zone: Arc<str>,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: Arc<str>,
 }
 
-/// A piece of news from the list.
+/// An update of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListNews {
-    /// All there is.
+    /// The complete list.
     Complete(Vec<ListEntry>),
-    /// What changed.
+    /// The changed entries only.
     Changes(Vec<ListEntry>),
 }
--- a/crates/lemoncleat-node/src/node/gap.rs
+++ b/crates/lemoncleat-node/src/node/gap.rs
@@ -1,36 +1,38 @@
-//! What a node does after a gap in its turns: a paused process, a host that ran something else.
+//! Handling of gaps between turns of the event loop, as when the process was paused or the host ran something
+//! else.
 //!
-//! All that came meanwhile is met at once, in an order that says nothing of the order in which it happened. So
-//! what is overdue toward callers is done first; then the whole backlog is read, and answers and releases take
-//! effect as they are read; then watchdogs and time-outs are judged, with the module told everything at one
-//! moment, as it is on its bench, the list's news first; and set-ups, old and new, come last. A request that was read counts as come
-//! when the gap began, the most careful moment.
+//! Everything that arrived meanwhile is read at once, in an order that does not reflect the order of arrival.
+//! The node therefore first handles what is overdue toward callers. It then reads the whole backlog; answers
+//! and releases take effect as they are read. After that it evaluates watchdogs and timeouts, and reports all
+//! events to the module at one time, as the module's benchmark does, list updates first. Set-ups, old and
+//! new, come last. A request read from the backlog counts as having arrived when the gap began, the most
+//! conservative assumption.
 
 use super::*;
 
-/// Set-ups begun in one turn after a gap: as many as keep the clock that they go by fresh.
-const SET_UPS: usize = 8;
-/// A driver that does not say that it has caught up is taken to have, after this.
-const LONGEST: Micros = 1_000_000;
+/// Set-ups begun per turn after a gap; few enough that the clock value they use stays current.
+const SET_UPS_PER_TURN: usize = 8;
+/// A driver that does not report [`Input::CaughtUp`] is assumed to have caught up after this time.
+const BACKLOG_TIMEOUT_US: Micros = 1_000_000;
 
-/// A gap whose backlog is not read yet.
+/// A gap whose backlog has not been read completely.
 #[derive(Debug, Default)]
 pub(super) struct Gap {
-    /// The loop had its last turn then.
+    /// When the loop had its last turn before the gap.
     since: Micros,
-    /// And the next one then.
-    woke: Micros,
-    /// Timers that must not be judged before the backlog is read, as they fell due.
+    /// When the loop had its next turn.
+    resumed: Micros,
+    /// Expired timers that must not be evaluated before the backlog is read, in order of expiry.
     timers: Vec<Timer>,
-    /// Timers are judged now, with the module told.
-    judged: bool,
-    /// Set-ups met in the backlog.
+    /// The backlog is read: timers are evaluated now and the module receives its events.
+    evaluating: bool,
+    /// Set-ups found in the backlog.
     set_ups: usize,
-    /// Answers withheld before it.
-    before: u64,
+    /// Value of the withheld counter when the gap began.
+    withheld_before: u64,
 }
 
-/// A client's request that waits for its turn after a gap.
+/// A client's request deferred until after a gap.
 #[derive(Debug)]
 pub(super) struct Deferred {
     peer: PeerId,
@@ -40,46 +42,46 @@
 }
 
 impl Timer {
-    /// Whether a timer that fell due in a gap waits until the backlog is read: what is in it may be the very
-    /// thing that was waited for, or news without which nothing new may be sent.
-    fn waits(self) -> bool {
-        !matches!(self, Timer::Deadline(_) | Timer::IncomingDeadline(..) | Timer::CaughtUp(_))
+    /// Returns whether a timer that expired in a gap waits until the backlog is read, because the backlog may
+    /// contain the awaited message, or news that forbids sending anything new.
+    fn waits_for_backlog(self) -> bool {
+        !matches!(self, Timer::Deadline(_) | Timer::IncomingDeadline(..) | Timer::BacklogTimeout(_))
     }
 }
 
 impl Node {
-    /// When what is read now arrived, at the earliest.
-    pub(super) fn arrived(&self) -> Micros {
+    /// Returns the earliest time at which a message read now can have arrived.
+    pub(super) fn arrival_time(&self) -> Micros {
         self.gap.as_ref().map_or(self.now, |gap| gap.since)
     }
 
-    /// Whether the module's events wait until the backlog is read.
-    pub(super) fn holds_events(&self) -> bool {
-        self.gap.as_ref().is_some_and(|gap| !gap.judged)
+    /// Returns whether events for the module are held until the backlog is read.
+    pub(super) fn events_are_held(&self) -> bool {
+        self.gap.as_ref().is_some_and(|gap| !gap.evaluating)
     }
 
-    /// The loop had no turn from `since` until now. In a further gap before the backlog of one is read, the
-    /// first one's beginning counts.
-    pub(super) fn away(&mut self, since: Micros) {
+    /// Handles a gap in the event loop from `since` until now. If another gap follows before the backlog is
+    /// read, the beginning of the first one counts.
+    pub(super) fn begin_gap(&mut self, since: Micros) {
         let since = since.min(self.now);
         for index in 0..self.peers.len() {
-            self.tell_peer(PeerId(index as u32), PeerInput::Away(self.now - since));
+            self.drive_peer(PeerId(index as u32), PeerInput::Away(self.now - since));
         }
         if self.gap.is_none() {
             self.stats.gaps += 1;
-            self.gap = Some(Gap { since, before: self.stats.withheld, ..Gap::default() });
-            self.wheel.set(self.now + LONGEST, Timer::CaughtUp(self.stats.gaps));
+            self.gap = Some(Gap { since, withheld_before: self.stats.withheld, ..Gap::default() });
+            self.wheel.set(self.now + BACKLOG_TIMEOUT_US, Timer::BacklogTimeout(self.stats.gaps));
         }
         if let Some(gap) = &mut self.gap {
-            gap.woke = self.now;
+            gap.resumed = self.now;
         }
-        // The deadlines that passed are the most overdue of all; `handle` runs them before anything is read.
+        // Passed deadlines are the most overdue; `handle` processes them before anything is read.
     }
 
-    /// Keeps a timer for later if it must not be judged yet.
-    pub(super) fn holds(&mut self, timer: Timer) -> bool {
+    /// Keeps a timer for later if it must not be evaluated yet; returns whether it was kept.
+    pub(super) fn defer_timer(&mut self, timer: Timer) -> bool {
         match &mut self.gap {
-            Some(gap) if timer.waits() && !gap.judged => {
+            Some(gap) if timer.waits_for_backlog() && !gap.evaluating => {
                 gap.timers.push(timer);
                 true
             }
@@ -87,8 +89,8 @@
         }
     }
 
-    /// Takes a client's request for later, if it begins something new while older things are not settled. A
-    /// release of a call whose set-up waits stays behind it.
+    /// Defers a client's request if it begins something new while earlier events are not processed; returns
+    /// whether it was deferred. A release of a call whose set-up is deferred stays behind that set-up.
     pub(super) fn defer(&mut self, peer: PeerId, conn: ConnId, message: &MessageRef<'_>) -> bool {
         if self.gap.is_none() && self.deferred.is_empty() {
             return false;
@@ -109,63 +111,63 @@
         if self.deferred.len() >= self.settings.max_calls {
             return false;
         }
-        let arrived = self.arrived();
+        let arrived = self.arrival_time();
         self.deferred.push_back(Deferred { peer, conn, arrived, bytes: message.bytes.to_vec() });
         true
     }
 
-    /// The guard of a driver that does not say that it has caught up.
-    pub(super) fn caught_up_late(&mut self, number: u64) {
+    /// Safeguard for a driver that does not report that it has caught up.
+    pub(super) fn backlog_timed_out(&mut self, number: u64) {
         if self.gap.is_some() && self.stats.gaps == number {
-            self.caught_up();
+            self.backlog_read();
         }
     }
 
-    /// The backlog is read: what is still silent was silent.
-    pub(super) fn caught_up(&mut self) {
+    /// Handles the end of the backlog: what is still silent now has been silent.
+    pub(super) fn backlog_read(&mut self) {
         let Some(gap) = self.gap.as_mut() else { return };
-        gap.judged = true;
+        gap.evaluating = true;
         let (watchdogs, rest): (Vec<Timer>, Vec<Timer>) =
             std::mem::take(&mut gap.timers).into_iter().partition(|timer| matches!(timer, Timer::Peer(_)));
-        // News of the list first: a call whose time is all but over is sent at the module's first look.
+        // List updates first: a call that has almost no time left is sent as soon as the module sees it.
         self.events.make_contiguous().sort_by_key(|event| !matches!(event, Event::Members(_)));
-        self.settle();
+        self.process_events();
         for timer in watchdogs.into_iter().chain(rest) {
             self.run_timer(timer);
-            self.settle();
+            self.process_events();
         }
-        // What was the last gap's summary is told before the next one's begins.
-        self.tell_gap();
-        self.over = self.gap.take();
+        // The previous gap is reported before the next one replaces it.
+        self.report_gap();
+        self.finished_gap = self.gap.take();
     }
 
-    /// Tells of a gap once all of it is dealt with.
-    fn tell_gap(&mut self) {
-        let Some(gap) = self.over.take() else { return };
-        let withheld = self.stats.withheld - gap.before;
-        self.notice(Notice::Away { time: gap.woke - gap.since, set_ups: gap.set_ups, withheld });
+    /// Reports a gap once all of its backlog is processed.
+    fn report_gap(&mut self) {
+        let Some(gap) = self.finished_gap.take() else { return };
+        let withheld = self.stats.withheld - gap.withheld_before;
+        self.notice(Notice::LoopGap { time: gap.resumed - gap.since, set_ups: gap.set_ups, withheld });
     }
 
-    /// Begins some of the set-ups that waited for the end of a gap.
+    /// Begins some of the set-ups deferred by a gap.
     pub(super) fn begin_deferred(&mut self) {
         if self.gap.is_some() {
             return;
         }
-        for _ in 0..SET_UPS {
-            let Some(next) = self.deferred.pop_front() else { return self.tell_gap() };
+        for _ in 0..SET_UPS_PER_TURN {
+            let Some(next) = self.deferred.pop_front() else { return self.report_gap() };
             let Ok(message) = MessageRef::parse(&next.bytes) else { continue };
             match message.header.command {
                 d::CMD_AA => self.set_up(next.peer, next.conn, next.arrived, &message),
                 _ => self.session_terminated(next.conn, &message),
             }
-            self.settle();
+            self.process_events();
         }
     }
 
-    /// A call is over without an answer: events of it that the module has not heard yet close it there too, or
-    /// the module would send it on.
+    /// Marks queued events of a call that ended without an answer as closing it; otherwise the module would
+    /// send the call again.
     pub(super) fn close_held_events(&mut self, id: u64) {
-        if !self.holds_events() {
+        if !self.events_are_held() {
             return;
         }
         for event in &mut self.events {
--- a/crates/lemoncleat-node/src/node/mod.rs
+++ b/crates/lemoncleat-node/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! The node: its inputs and outputs, its timers, and the way between events and actions.
+//! The node: its inputs and outputs, its timers, and the processing of events and actions.
 
 mod calls;
 mod configure;
@@ -10,7 +10,7 @@
 mod stopping;
 mod trunks;
 
-pub use members::WORD_MOST;
+pub use members::MAX_WORD_BYTES;
 pub use trunks::{CircuitOrder, CircuitStatus, GroupStatus};
 
 use std::collections::{BTreeMap, VecDeque};
@@ -40,136 +40,139 @@
 use crate::{translate, Micros, TimerKey, Wheel};
 use lemoncleat_core::Deadline;
 
-/// A peer, as numbered by the node.
+/// A peer's number within the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
-/// What a node is told.
+/// An event reported to a node by its driver.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// Somebody connected.
+    /// An inbound connection was accepted.
     Accepted(ConnId),
-    /// The connection that was just accepted is secured, and its certificate holds these names.
+    /// The connection that was just accepted is secured; its certificate contains these names.
     Secured(ConnId, Vec<String>),
-    /// A connection that was dialled stands.
+    /// A dialled connection is established.
     Dialled(PeerId, ConnId),
-    /// Dialling failed.
+    /// Dialling a peer failed.
     DialFailed(PeerId),
-    /// Bytes came.
+    /// Bytes were received.
     Bytes(ConnId, &'a [u8]),
-    /// So many of the bytes given for a connection are written.
+    /// This many of the bytes passed for a connection have been written.
     Wrote(ConnId, usize),
-    /// A connection was closed by the other side or the network.
+    /// A connection was closed by the other end or the network.
     Closed(ConnId),
-    /// News of the list of servers.
+    /// An update of the server list.
     List(ListNews),
-    /// Time has passed: at or after [`Node::wake`].
+    /// Time has passed; sent at or after [`Node::wake`].
     Timeout,
-    /// The loop had no turn since this moment, when it last looked at its sockets. What comes until
-    /// [`Input::CaughtUp`] may have come at any time since.
+    /// The event loop had no turn since this time, when it last checked its sockets. Anything delivered until
+    /// [`Input::CaughtUp`] may have arrived at any time since.
     Away(Micros),
-    /// All that came while the loop had no turn has been handed over.
+    /// Everything that arrived while the loop had no turn has been delivered.
     CaughtUp,
-    /// Dial this member of the fleet, by its place in the settings, and again after a wait whenever its
-    /// connection is lost. One whose connection stands is left as it is.
+    /// Dial this member of the fleet, given by its place in the settings, and dial it again after a wait
+    /// whenever its connection is lost. An existing connection is left unchanged.
     Meet(usize),
-    /// Dial this member no more. A connection that this node made is ended in order; one that the member made is
-    /// its own to end.
+    /// Stop dialling this member. A connection made by this node is closed with a DPR; one made by the member
+    /// is for the member to close.
     Part(usize),
-    /// Say something to a member, in at most [`WORD_MOST`] bytes: sent at once, or dropped and counted.
+    /// Send a message to a member, of at most [`MAX_WORD_BYTES`] bytes. It is sent at once, or dropped and
+    /// counted.
     Word(usize, &'a [u8]),
-    /// All members of the fleet from now on, in any order. One that stays keeps its place and its connection, unless
-    /// its address is another one: then the connection is ended in order, and the new address is dialled if the member
-    /// is to be met. One that is new takes the next place that none ever had. One that went leaves its place empty for
-    /// good, and its connection is ended in order.
+    /// The complete list of fleet members from now on, in any order. A member that stays keeps its place and
+    /// its connection; if its address changed, the connection is closed with a DPR and the new address is
+    /// dialled if the member is to be dialled. A new member takes the next place that has never been used.
+    /// The place of a removed member stays empty permanently, and its connection is closed with a DPR.
     Members(Vec<MemberPeer>),
-    /// Refuse new calls of clients from now on, with this time to come back; or take them again. Standing calls
-    /// and set-ups under way live on.
+    /// Refuse new calls of clients from now on, with this time after which to retry; or accept them again
+    /// (`None`). Standing calls and set-ups in progress continue.
     Fence(Option<Micros>),
-    /// Leave clients waiting for the answer to their capabilities from now on, since what is in force is not decided
-    /// yet; or answer them. Connections that stand are left as they are.
+    /// Delay the answers to clients' capabilities from now on, because the configuration in force is not
+    /// decided yet; or answer them. Existing connections are left unchanged.
     HoldClients(bool),
-    /// Stop in order.
+    /// Shut down gracefully.
     Stop,
 }
 
-/// What a node asks its driver for.
+/// An action requested from the driver.
 #[derive(Debug, PartialEq)]
 pub enum Output {
-    /// Dial; answer with [`Input::Dialled`] or [`Input::DialFailed`].
+    /// Dial this address; report the result with [`Input::Dialled`] or [`Input::DialFailed`].
     Dial(PeerId, SocketAddr),
-    /// Stop dialling; a connection that comes to stand all the same is closed.
+    /// Stop dialling. A connection that is established nevertheless is closed.
     StopDial(PeerId),
-    /// Write bytes.
+    /// Write bytes to a connection.
     Send(ConnId, Vec<u8>),
-    /// Close a connection, after what was given for it before is written. It is not heard of again.
+    /// Close a connection after everything passed for it before is written. It is not mentioned again.
     Close(ConnId),
-    /// Something worth a log line.
+    /// An event to be logged.
     Notice(Notice),
-    /// A connection with this member stands: it can be told words. By its place in the settings.
+    /// A connection with this member, given by its place in the settings, is established: messages can be
+    /// sent to it.
     Linked(usize),
-    /// Words no longer reach this member: its connection is gone, being ended, or left a watchdog unanswered.
+    /// Messages no longer reach this member: its connection is lost, is being closed, or left a watchdog
+    /// request unanswered.
     Unlinked(usize),
-    /// A member said something. Only between [`Output::Linked`] and [`Output::Unlinked`], and in the order in
-    /// which it was said there.
+    /// A message received from a member. Sent only between [`Output::Linked`] and [`Output::Unlinked`], in
+    /// the order in which the member sent them.
     Heard(usize, Vec<u8>),
-    /// All is ended after [`Input::Stop`].
+    /// The shutdown requested by [`Input::Stop`] is complete.
     Stopped,
 }
 
-/// What a node has done so far, and holds.
+/// Counters and current totals of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Calls accepted.
     pub calls: u64,
-    /// Calls that came to stand.
+    /// Calls established.
     pub stood: u64,
     /// Calls that the module refused.
     pub refused: u64,
     /// Calls that the module failed.
     pub failed: u64,
-    /// Calls whose caller left before an answer.
+    /// Calls whose caller released or disconnected before an answer.
     pub left: u64,
-    /// Standing calls that were cut.
+    /// Standing calls cut.
     pub cut: u64,
     /// Attempts sent.
     pub attempts: u64,
     /// Set-ups that succeeded after they had been given up.
     pub late: u64,
-    /// Repeats of a request that were recognised.
+    /// Repeated requests that were recognised.
     pub repeats: u64,
-    /// Requests refused as faulty, beyond a limit, or by a fence.
+    /// Requests refused as invalid, because of a limit, or by a fence.
     pub turned_away: u64,
-    /// Calls that the node's own last guard had to fail.
+    /// Calls failed by the node's deadline guard, the last safeguard.
     pub last_moment: u64,
-    /// Answers that stayed here because their caller's deadline was over, and requests read only after it.
+    /// Answers withheld because their caller's deadline had passed, and requests read only after it.
     pub withheld: u64,
-    /// Gaps in the loop's turns.
+    /// Gaps between turns of the event loop.
     pub gaps: u64,
-    /// Calls that servers set up toward clients.
+    /// Calls from servers that clients accepted.
     pub incoming: u64,
-    /// Circuits lost to the other end's seizure.
+    /// Circuits lost to a dual seizure by the other end.
     pub yields: u64,
-    /// Words sent to members.
+    /// Messages sent to members.
     pub words_sent: u64,
-    /// Words heard from members.
+    /// Messages received from members.
     pub words_heard: u64,
-    /// Words that could not be sent: no connection, too much waiting, or too long.
+    /// Messages that could not be sent: no connection, a full queue, or too long.
     pub words_dropped: u64,
-    /// Messages given to connections with members, whoever made them: words and their answers, capabilities, watchdogs,
-    /// and what ends a connection.
+    /// Diameter messages sent on connections with members, of any kind: fleet messages and their answers,
+    /// capabilities exchange, watchdogs and disconnects.
     pub control_sent_messages: u64,
-    /// Their bytes, from the first of the Diameter header to the last of the padding, before TLS.
+    /// Bytes of these messages, from the start of the Diameter header to the end of the padding, before TLS.
     pub control_sent_bytes: u64,
-    /// Whole messages read from such connections.
+    /// Complete messages received on such connections.
     pub control_received_messages: u64,
-    /// All bytes that came on them, also those of a message that is not whole yet.
+    /// All bytes received on such connections, including those of incomplete messages.
     pub control_received_bytes: u64,
-    /// Calls standing now.
+    /// Current number of standing calls.
     pub standing: usize,
-    /// Calls being set up now.
+    /// Current number of calls being set up.
     pub setting_up: usize,
-    /// Connections now.
+    /// Current number of connections.
     pub connections: usize,
 }
 
@@ -177,7 +180,7 @@
 enum Role {
     Client,
     Server(ServerId),
-    /// By its place in the settings.
+    /// A member of the fleet, by its place in the settings.
     Member(usize),
 }
 
@@ -186,16 +189,17 @@
     host: Arc<str>,
     role: Role,
     requests: HopByHop<Request>,
-    /// Grows with each open connection, so that timers of an earlier one can be told.
+    /// Incremented with each open connection, to recognise timers set for an earlier one.
     epoch: u32,
     state_id: Option<u32>,
-    /// When its timer is set for.
+    /// The time for which the peer's timer is set.
     armed: Option<Micros>,
-    /// Releases that could not be sent, for when it is back.
-    owed: Vec<Arc<str>>,
-    /// Calls of a client, or standing at a server.
+    /// Sessions whose release could not be sent; they are released when the peer reconnects.
+    pending_releases: Vec<Arc<str>>,
+    /// Number of calls of a client, or standing at a server.
     calls: usize,
-    /// A client that the settings name no more: it loses its connection with its last call.
+    /// Whether this is a client that the settings no longer name. Its connection is closed with its last
+    /// call.
     leaving: bool,
     /// The trunk group toward a server.
     trunk: Option<trunks::Trunk>,
@@ -205,10 +209,10 @@
 struct Conn {
     reader: FrameReader,
     owner: Option<PeerId>,
-    /// Bytes that came before it was known whose it is.
-    unowned: usize,
+    /// Bytes received before the owner of the connection was known.
+    unattributed_bytes: usize,
     queued: usize,
-    /// Names that its certificate holds, on a secured connection.
+    /// The names in its certificate, on a secured connection.
     names: Option<Vec<String>>,
 }
 
@@ -218,15 +222,15 @@
     Attempt(u64, u32),
     Deadline(u64),
     Peer(PeerId),
-    Unidentified(ConnId),
-    Return(PeerId, u32),
-    Late(PeerId, u32, u32),
+    CapabilitiesTimeout(ConnId),
+    ReturnTimeout(PeerId, u32),
+    RequestTimeout(PeerId, u32, u32),
     Trunk(PeerId),
-    SeizeAgain(u64, u32),
-    Drained,
+    RetrySeizure(u64, u32),
+    DrainTimeout,
     IncomingDeadline(PeerId, u64),
-    CaughtUp(u64),
-    Classes,
+    BacklogTimeout(u64),
+    PruneClasses,
 }
 
 /// The core of an access node.
@@ -234,8 +238,8 @@
     settings: NodeSettings,
     local: Arc<Local>,
     controller: Controller,
-    /// The names of the classes that the module knows: those of the settings, then those that went while calls of
-    /// them are pending.
+    /// The names of the module's classes: those of the settings, then removed classes that still have pending
+    /// calls.
     classes: Vec<Arc<str>>,
     wheel: Wheel<Timer>,
     conns: FxHashMap<ConnId, Conn>,
@@ -245,22 +249,22 @@
     servers: Servers,
     calls: FxHashMap<u64, Call>,
     sessions: HashMap<Arc<str>, u64>,
-    /// Calls that servers set up: whose, and which of theirs.
+    /// Calls set up by servers: the server's peer and the call's reference there.
     incoming_sessions: HashMap<Arc<str>, (PeerId, u64)>,
     duplicates: Duplicates<(u64, Deadline)>,
     next_call: u64,
     events: VecDeque<Event>,
-    /// A gap whose backlog is being read.
+    /// The current gap, while its backlog is being read.
     gap: Option<gap::Gap>,
-    /// The gap before, while requests of it still wait.
-    over: Option<gap::Gap>,
-    /// Requests that wait for their turn after a gap.
+    /// The previous gap, while requests from its backlog are still deferred.
+    finished_gap: Option<gap::Gap>,
+    /// Requests deferred until after a gap.
     deferred: VecDeque<gap::Deferred>,
     actions: Vec<Action>,
     standing: usize,
-    /// New calls are refused, with this time to come back.
+    /// While set, new calls are refused; the value is the retry time that is sent to the caller.
     fence: Option<Micros>,
-    /// The first messages of clients that wait, while they are held.
+    /// While clients are held: the first message of each waiting connection.
     held: Option<BTreeMap<ConnId, Vec<u8>>>,
     stopping: bool,
     stopped: bool,
@@ -272,12 +276,12 @@
 }
 
 impl Node {
-    /// A node without connections. `state_id` is its Origin-State-Id, which must grow at each start; all its
-    /// random choices come from the seed.
+    /// Creates a node without connections. `state_id` is its Origin-State-Id, which must increase with each
+    /// start; all random choices derive from the seed.
     ///
     /// # Errors
     ///
-    /// When the module can't work with its settings.
+    /// If the module rejects the settings.
     pub fn new(settings: NodeSettings, state_id: u32, seed: u64) -> Result<Self, SettingsError> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let local = Arc::new(Local {
@@ -308,7 +312,7 @@
             next_call: 0,
             events: VecDeque::new(),
             gap: None,
-            over: None,
+            finished_gap: None,
             deferred: VecDeque::new(),
             actions: Vec::new(),
             standing: 0,
@@ -330,7 +334,7 @@
         Ok(node)
     }
 
-    /// What it has done so far, and holds.
+    /// Returns the counters and current totals.
     pub fn stats(&self) -> Stats {
         Stats {
             standing: self.standing,
@@ -340,12 +344,12 @@
         }
     }
 
-    /// The Origin-Host of a peer that is dialled.
+    /// Returns the Origin-Host of a peer.
     pub fn peer_host(&self, peer: PeerId) -> Option<Arc<str>> {
         self.peers.get(peer.0 as usize).map(|slot| slot.host.clone())
     }
 
-    /// When to call with [`Input::Timeout`] at the latest.
+    /// Returns the latest time for a call with [`Input::Timeout`].
     pub fn wake(&self) -> Option<Micros> {
         if self.gap.is_none() && !self.deferred.is_empty() {
             return Some(self.now);
@@ -353,11 +357,11 @@
         self.wheel.wake()
     }
 
-    /// Takes an input and adds what is to be done.
+    /// Processes an input and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
-            Input::Accepted(conn) => self.accepted(conn),
+            Input::Accepted(conn) => self.connection_accepted(conn),
             Input::Secured(conn, names) => {
                 if let Some(conn) = self.conns.get_mut(&conn) {
                     conn.names = Some(names);
@@ -365,12 +369,12 @@
             }
             Input::Dialled(peer, conn) => {
                 self.conns.insert(conn, self.new_conn(Some(peer)));
-                self.tell_peer(peer, PeerInput::Dialled(conn));
+                self.drive_peer(peer, PeerInput::Dialled(conn));
             }
             Input::DialFailed(peer) => {
-                self.tell_peer(peer, PeerInput::DialFailed);
+                self.drive_peer(peer, PeerInput::DialFailed);
             }
-            Input::Bytes(conn, bytes) => self.bytes(conn, bytes),
+            Input::Bytes(conn, bytes) => self.handle_bytes(conn, bytes),
             Input::Wrote(conn, count) => {
                 if let Some(conn) = self.conns.get_mut(&conn) {
                     conn.queued = conn.queued.saturating_sub(count);
@@ -378,32 +382,32 @@
             }
             Input::Closed(conn) => {
                 if let Some(Conn { owner: Some(peer), .. }) = self.conns.remove(&conn) {
-                    self.tell_peer(peer, PeerInput::Closed(conn));
+                    self.drive_peer(peer, PeerInput::Closed(conn));
                 }
             }
-            Input::List(news) => self.list(news),
+            Input::List(news) => self.update_list(news),
             Input::Timeout => {}
-            Input::Away(since) => self.away(since),
-            Input::CaughtUp => self.caught_up(),
-            Input::Meet(member) => self.meet(member),
-            Input::Part(member) => self.part(member),
-            Input::Word(member, bytes) => self.word(member, bytes),
+            Input::Away(since) => self.begin_gap(since),
+            Input::CaughtUp => self.backlog_read(),
+            Input::Meet(member) => self.dial_member(member),
+            Input::Part(member) => self.stop_dialling_member(member),
+            Input::Word(member, bytes) => self.send_or_drop_word(member, bytes),
             Input::Members(members) => self.change_members(members),
             Input::Fence(come_back) => self.fence = come_back,
             Input::HoldClients(hold) => self.hold_clients(hold),
-            Input::Stop => self.stop(),
+            Input::Stop => self.begin_stopping(),
         }
-        self.settle();
-        self.timers();
+        self.process_events();
+        self.run_due_timers();
         self.begin_deferred();
         out.append(&mut self.out);
     }
 
-    /// Carries out what an operator asks of circuits of the group toward a server.
+    /// Carries out an operator's command on circuits of the trunk group toward a server.
     ///
     /// # Errors
     ///
-    /// When there is no such group or circuit.
+    /// If there is no such group or circuit.
     pub fn order(
         &mut self,
         now: Micros,
@@ -414,7 +418,7 @@
     ) -> Result<(), String> {
         self.now = self.now.max(now);
         let done = self.order_circuits(server, range, order);
-        self.settle();
+        self.process_events();
         out.append(&mut self.out);
         done
     }
@@ -423,7 +427,7 @@
         self.out.push(Output::Notice(notice));
     }
 
-    fn step(&mut self, call: u64, step: impl FnOnce() -> CallStep) {
+    fn trace_step(&mut self, call: u64, step: impl FnOnce() -> CallStep) {
         if self.settings.trace_calls {
             if let Some(session) = self.calls.get(&call).map(|call| call.session.clone()) {
                 self.out.push(Output::Notice(Notice::Call(call, session, step())));
@@ -433,11 +437,11 @@
 
     // ---- Timers ----
 
-    fn timers(&mut self) {
+    fn run_due_timers(&mut self) {
         while let Some(timer) = self.wheel.pop(self.now) {
-            if !self.holds(timer) {
+            if !self.defer_timer(timer) {
                 self.run_timer(timer);
-                self.settle();
+                self.process_events();
             }
         }
     }
@@ -446,63 +450,63 @@
         match timer {
             Timer::Module(token) => self.events.push_back(Event::Timer(token)),
             Timer::Attempt(call, number) => {
-                let out = self.calls.get(&call).and_then(|call| call.out);
-                if out.is_some_and(|out| out.number == number) {
+                let pending = self.calls.get(&call).and_then(|call| call.pending);
+                if pending.is_some_and(|pending| pending.number == number) {
                     self.give_up_attempt(call, Outcome::TimedOut, false);
                 }
             }
-            Timer::Deadline(call) => self.last_moment(call),
+            Timer::Deadline(call) => self.deadline_guard(call),
             Timer::Peer(peer) => {
                 if let Some(slot) = self.peers.get_mut(peer.0 as usize) {
                     slot.armed = None;
                     if slot.peer.due().is_some_and(|due| due <= self.now) {
-                        self.tell_peer(peer, PeerInput::Timeout);
+                        self.drive_peer(peer, PeerInput::Timeout);
                     } else {
-                        self.arm(peer);
+                        self.arm_peer(peer);
                     }
                 }
             }
-            Timer::Unidentified(conn) => {
+            Timer::CapabilitiesTimeout(conn) => {
                 if self.is_held(conn) {
-                    self.wheel.set(self.now + self.settings.timing.open, Timer::Unidentified(conn));
+                    self.wheel.set(self.now + self.settings.timing.open, Timer::CapabilitiesTimeout(conn));
                 } else if self.conns.get(&conn).is_some_and(|conn| conn.owner.is_none()) {
                     self.notice(Notice::NoCapabilities(conn));
                     self.close(conn);
                 }
             }
-            Timer::Return(peer, epoch) => self.did_not_return(peer, epoch),
-            Timer::Late(peer, epoch, id) => {
+            Timer::ReturnTimeout(peer, epoch) => self.return_timed_out(peer, epoch),
+            Timer::RequestTimeout(peer, epoch, id) => {
                 if self.peers.get(peer.0 as usize).is_some_and(|slot| slot.epoch == epoch) {
-                    self.unanswered(peer, id);
+                    self.request_timed_out(peer, id);
                 }
             }
             Timer::Trunk(peer) => self.trunk_timeout(peer),
-            Timer::SeizeAgain(call, number) => self.seize_again(call, number),
-            Timer::Drained => self.finish_stopping(true),
-            Timer::IncomingDeadline(peer, call) => self.incoming_last_moment(peer, call),
-            Timer::CaughtUp(number) => self.caught_up_late(number),
-            Timer::Classes => self.forget_classes(),
+            Timer::RetrySeizure(call, number) => self.retry_seizure(call, number),
+            Timer::DrainTimeout => self.finish_stopping(true),
+            Timer::IncomingDeadline(peer, call) => self.incoming_deadline_guard(peer, call),
+            Timer::BacklogTimeout(number) => self.backlog_timed_out(number),
+            Timer::PruneClasses => self.prune_classes(),
         }
     }
 
     // ---- The module ----
 
-    /// Gives the module its events and carries its actions out, until neither is left.
-    fn settle(&mut self) {
-        if self.holds_events() {
+    /// Passes queued events to the module and carries out its actions until none is left.
+    fn process_events(&mut self) {
+        if self.events_are_held() {
             return;
         }
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.perform(action);
             }
             self.actions = actions;
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn perform(&mut self, action: Action) {
         match action {
             Action::Send { call, server, timeout } => self.send_call(call.0, server, timeout),
             Action::Refuse { call, retry_after } => {
@@ -514,8 +518,8 @@
                 self.answer_failure(call.0, code::UNABLE_TO_DELIVER, "the call could not be set up", 0);
             }
             Action::Cancel { call, attempt } => {
-                let out = self.calls.get(&call.0).and_then(|call| call.out);
-                if out.is_some_and(|out| out.number == attempt) {
+                let pending = self.calls.get(&call.0).and_then(|call| call.pending);
+                if pending.is_some_and(|pending| pending.number == attempt) {
                     self.give_up_attempt(call.0, Outcome::Cancelled, false);
                 }
             }
@@ -523,7 +527,8 @@
                 self.wheel.set(self.now + delay, Timer::Module(token));
             }
             Action::Log(text) => self.notice(Notice::Module(text)),
-            // Neither is allowed by the settings that a node is given, and the list comes unasked.
+            // The settings given to a node disable these actions, and the server list is delivered
+            // unrequested.
             Action::Probe(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
         }
     }
--- a/crates/lemoncleat-node/src/node/peers.rs
+++ b/crates/lemoncleat-node/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Connections, peers and the list of servers.
+//! Connections, peers and the server list.
 
 use super::calls::CAUSE_LINK_BROKEN;
 use super::*;
@@ -8,57 +8,58 @@
 
     pub(super) fn new_conn(&self, owner: Option<PeerId>) -> Conn {
         let reader = FrameReader::new(self.settings.max_message);
-        Conn { reader, owner, unowned: 0, queued: 0, names: None }
+        Conn { reader, owner, unattributed_bytes: 0, queued: 0, names: None }
     }
 
-    pub(super) fn accepted(&mut self, conn: ConnId) {
-        // Members take no room from clients: each may hold one connection beyond the limit.
+    pub(super) fn connection_accepted(&mut self, conn: ConnId) {
+        // Members do not reduce the capacity for clients: each may hold one connection beyond the limit.
         if self.conns.len() >= self.settings.max_connections + self.members.len() || self.stopping {
-            self.notice(Notice::ConnectionsFull(conn));
+            self.notice(Notice::ConnectionLimitReached(conn));
             self.out.push(Output::Close(conn));
             return;
         }
         self.conns.insert(conn, self.new_conn(None));
-        self.wheel.set(self.now + self.settings.timing.open, Timer::Unidentified(conn));
+        self.wheel.set(self.now + self.settings.timing.open, Timer::CapabilitiesTimeout(conn));
     }
 
-    pub(super) fn bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        self.count_received(conn, bytes.len());
+    pub(super) fn handle_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
+        self.count_control_received(conn, bytes.len());
         let Some(state) = self.conns.get_mut(&conn) else { return };
         let mut reader = std::mem::replace(&mut state.reader, FrameReader::new(0));
         reader.push(bytes);
         loop {
             match reader.next_frame() {
-                Ok(Some(frame)) => self.frame(conn, frame),
+                Ok(Some(frame)) => self.handle_frame(conn, frame),
                 Ok(None) => break,
                 Err(error) => {
-                    self.garbled(conn, error);
+                    self.stream_malformed(conn, error);
                     break;
                 }
             }
             if !self.conns.contains_key(&conn) {
                 return;
             }
-            self.settle();
+            self.process_events();
         }
         if let Some(state) = self.conns.get_mut(&conn) {
             state.reader = reader;
         }
     }
 
-    /// The stream can't be read on: the connection is closed, and its peer learns so (section 7.1.3 and
-    /// 7.1.5 would have an answer, but where the header is unreadable there is no request to answer).
-    pub(super) fn garbled(&mut self, conn: ConnId, error: FrameError) {
-        self.notice(Notice::Garbled(conn, error));
-        self.lose(conn);
+    /// Handles a stream that can't be parsed any further: the connection is closed, which the peer notices.
+    /// (Sections 7.1.3 and 7.1.5 of RFC 6733 define error answers, but with an unreadable header there is no
+    /// request to answer.)
+    pub(super) fn stream_malformed(&mut self, conn: ConnId, error: FrameError) {
+        self.notice(Notice::MalformedStream(conn, error));
+        self.drop_connection(conn);
     }
 
-    /// Closes a connection for a reason that its peer machine does not know of yet.
-    pub(super) fn lose(&mut self, conn: ConnId) {
+    /// Closes a connection for a reason unknown to its peer state machine.
+    pub(super) fn drop_connection(&mut self, conn: ConnId) {
         let owner = self.conns.get(&conn).and_then(|conn| conn.owner);
         self.close(conn);
         if let Some(peer) = owner {
-            self.tell_peer(peer, PeerInput::Closed(conn));
+            self.drive_peer(peer, PeerInput::Closed(conn));
         }
     }
 
@@ -68,22 +69,23 @@
         }
     }
 
-    /// Gives bytes to a connection. One whose queue is over twice its limit is not reading: it is closed.
+    /// Queues bytes for a connection. If its queue exceeds twice the limit, the peer is not reading, and the
+    /// connection is closed.
     pub(super) fn send(&mut self, conn: ConnId, bytes: Vec<u8>) {
         let limit = self.settings.max_queue;
         let Some(state) = self.conns.get_mut(&conn) else { return };
         if state.queued > 2 * limit {
             let host = state.owner.and_then(|p| self.peers.get(p.0 as usize)).map(|slot| slot.host.clone());
             self.notice(Notice::QueueFull(host.unwrap_or_else(|| "unknown".into())));
-            return self.lose(conn);
+            return self.drop_connection(conn);
         }
         state.queued += bytes.len();
         let owner = state.owner;
-        self.count_sent(owner, bytes.len());
+        self.count_control_sent(owner, bytes.len());
         self.out.push(Output::Send(conn, bytes));
     }
 
-    pub(super) fn frame(&mut self, conn: ConnId, bytes: &[u8]) {
+    pub(super) fn handle_frame(&mut self, conn: ConnId, bytes: &[u8]) {
         let Ok(message) = MessageRef::parse(bytes) else { return };
         match self.conns.get(&conn).and_then(|conn| conn.owner) {
             None => self.first_message(conn, &message),
@@ -91,14 +93,14 @@
                 if self.is_member(peer) {
                     self.stats.control_received_messages += 1;
                 }
-                if self.tell_peer(peer, PeerInput::Message(conn, &message)) {
-                    self.deliver(peer, conn, &message);
+                if self.drive_peer(peer, PeerInput::Message(conn, &message)) {
+                    self.dispatch(peer, conn, &message);
                 }
             }
         }
     }
 
-    /// The first message of an accepted connection tells whose it is.
+    /// Identifies the peer of an accepted connection by its first message.
     pub(super) fn first_message(&mut self, conn: ConnId, message: &MessageRef<'_>) {
         if message.header.command != d::CMD_CAPABILITIES || !message.header.is_request() {
             self.notice(Notice::NoCapabilities(conn));
@@ -107,7 +109,7 @@
         let host = message.text(d::ORIGIN_HOST).unwrap_or_default();
         let names = self.conns.get(&conn).and_then(|conn| conn.names.as_ref());
         if names.is_some_and(|names| !names.iter().any(|name| name.eq_ignore_ascii_case(host))) {
-            // RFC 6733 section 13.1: what a peer calls itself must be what it proved to be.
+            // RFC 6733 section 13.1: the Origin-Host of a peer must match the identity that it proved.
             self.notice(Notice::UnknownPeer(conn, format!("{host} (its certificate is for another name)")));
             let text = format!("the certificate is not for {host}");
             let fault = Fault { result: code::UNKNOWN_PEER, text, failed: Vec::new() };
@@ -115,7 +117,7 @@
             self.send(conn, answer);
             return self.close(conn);
         }
-        let Some(peer) = self.hosts.get(host).copied().filter(|peer| !self.has_left(*peer)) else {
+        let Some(peer) = self.hosts.get(host).copied().filter(|peer| !self.is_removed_client(*peer)) else {
             let text = format!("{host} is not a known peer");
             self.notice(Notice::UnknownPeer(conn, host.to_owned()));
             let fault = match check_request(message) {
@@ -126,18 +128,18 @@
             self.send(conn, answer);
             return self.close(conn);
         };
-        if self.peers[peer.0 as usize].role == Role::Client && self.hold(conn, message) {
+        if self.peers[peer.0 as usize].role == Role::Client && self.hold_message(conn, message) {
             return;
         }
         if let Some(state) = self.conns.get_mut(&conn) {
             state.owner = Some(peer);
-            let unowned = std::mem::take(&mut state.unowned);
+            let unattributed_bytes = std::mem::take(&mut state.unattributed_bytes);
             if self.is_member(peer) {
                 self.stats.control_received_messages += 1;
-                self.stats.control_received_bytes += unowned as u64;
+                self.stats.control_received_bytes += unattributed_bytes as u64;
             }
         }
-        self.tell_peer(peer, PeerInput::Accepted(conn, message));
+        self.drive_peer(peer, PeerInput::Accepted(conn, message));
     }
 
     // ---- Peers ----
@@ -150,7 +152,8 @@
             replace: match role {
                 Role::Client => Some(0),
                 Role::Server(_) => None,
-                // Both ends dial: what comes later than an election takes did lose the connection that stands.
+                // Both ends dial. A connection that arrives later than an election can take means that the
+                // member has lost the existing one.
                 Role::Member(_) => Some(timing.open),
             },
             watchdog: timing.watchdog,
@@ -179,7 +182,7 @@
             epoch: 0,
             state_id: None,
             armed: None,
-            owed: Vec::new(),
+            pending_releases: Vec::new(),
             calls: 0,
             leaving: false,
             trunk: None,
@@ -188,11 +191,12 @@
         id
     }
 
-    /// Gives a peer machine an input and carries its outputs out; whether the message is the node's.
-    pub(super) fn tell_peer(&mut self, id: PeerId, input: PeerInput<'_>) -> bool {
-        // One buffer for all turns; a turn within a turn gets a fresh one.
+    /// Passes an input to a peer state machine and carries out its outputs; returns whether the message is
+    /// for the node.
+    pub(super) fn drive_peer(&mut self, id: PeerId, input: PeerInput<'_>) -> bool {
+        // The output buffer is reused; a nested call gets a new one.
         let mut outputs = std::mem::take(&mut self.outputs);
-        let spoke = matches!(input, PeerInput::Message(..));
+        let is_message = matches!(input, PeerInput::Message(..));
         let Some(slot) = self.peers.get_mut(id.0 as usize) else { return false };
         slot.peer.handle(self.now, input, &mut outputs);
         let mut deliver = false;
@@ -210,7 +214,7 @@
                 PeerOutput::Usable => {
                     let host = self.host(id);
                     self.notice(Notice::PeerUsable(host));
-                    self.member_linked(id, true);
+                    self.set_member_linked(id, true);
                 }
                 PeerOutput::Suspect => self.peer_suspect(id),
                 PeerOutput::Draining(cause) => self.peer_draining(id, cause),
@@ -223,16 +227,16 @@
             }
         }
         self.outputs = outputs;
-        self.arm(id);
-        if spoke {
-            self.member_spoke(id);
+        self.arm_peer(id);
+        if is_message {
+            self.link_after_message(id);
         }
         deliver
     }
 
-    /// Sets the timer of a peer machine. Most inputs only move its due time later, so a timer that is set
-    /// already is left alone and looks again when it fires.
-    pub(super) fn arm(&mut self, id: PeerId) {
+    /// Sets the timer of a peer state machine. Most inputs only move the due time later, so a timer that is
+    /// already set is kept and the due time is checked again when it fires.
+    pub(super) fn arm_peer(&mut self, id: PeerId) {
         let Some(slot) = self.peers.get_mut(id.0 as usize) else { return };
         let Some(due) = slot.peer.due() else { return };
         if slot.armed.is_none_or(|armed| due < armed) {
@@ -254,29 +258,29 @@
     }
 
     pub(super) fn peer_open(&mut self, id: PeerId, capabilities: &[u8]) {
-        if self.member_open(id) {
+        if self.reset_member_requests(id) {
             return;
         }
         let state_id =
             MessageRef::parse(capabilities).ok().and_then(|message| message.number(d::ORIGIN_STATE_ID));
-        let fresh = HopByHop::new(self.rng.random());
+        let new_requests = HopByHop::new(self.rng.random());
         let Some(slot) = self.peers.get_mut(id.0 as usize) else { return };
         slot.epoch += 1;
-        slot.requests = fresh;
+        slot.requests = new_requests;
         let restarted = match (slot.state_id, state_id) {
             (Some(old), Some(new)) => old != new,
             _ => false,
         };
         slot.state_id = state_id.or(slot.state_id);
         let (role, host) = (slot.role, slot.host.clone());
-        let owed = std::mem::take(&mut slot.owed);
+        let releases = std::mem::take(&mut slot.pending_releases);
         if restarted {
             self.notice(Notice::PeerRestarted(host.clone()));
             match role {
-                // With a trunk group its reset ends them.
+                // With a trunk group, the reset of the group ends the calls.
                 Role::Server(_) if self.trunk(id).is_none() => self.cut_calls(id, "its server started anew"),
                 Role::Server(_) => {}
-                Role::Client => self.client_is_gone(id),
+                Role::Client => self.end_client_calls(id),
                 Role::Member(_) => {}
             }
         }
@@ -284,20 +288,21 @@
             if let Some(state) = self.servers.get_mut(server) {
                 state.leaving = false;
                 if restarted {
-                    // The list is late: until it tells, the process is as young as its connection.
+                    // The list lags behind: until it reports the start time, the time of this connection is
+                    // used.
                     state.started_at = Some(self.now);
                 }
                 let member = state.member(server);
                 self.events.push_back(Event::Members(MemberNews::Changes(vec![member])));
             }
-            self.trunk_open(id, capabilities, restarted);
+            self.open_trunk(id, capabilities, restarted);
             self.block_for_drain(
                 id,
                 self.servers.get(server).is_some_and(|s| s.listed != Availability::Ready),
             );
             if !restarted {
-                for session in owed {
-                    if !self.is_at(id, &session) {
+                for session in releases {
+                    if !self.session_in_use_at(id, &session) {
                         self.release(id, &session, CAUSE_LINK_BROKEN, 0);
                     }
                 }
@@ -305,17 +310,17 @@
         }
     }
 
-    /// A peer left a watchdog unanswered: what is out there is given up.
+    /// Handles a peer that left a watchdog request unanswered: its pending attempts are given up.
     pub(super) fn peer_suspect(&mut self, id: PeerId) {
         let host = self.host(id);
         self.notice(Notice::PeerSuspect(host));
-        self.member_linked(id, false);
-        for call in self.calls_out(id) {
+        self.set_member_linked(id, false);
+        for call in self.calls_with_attempt_at(id) {
             self.give_up_attempt(call, Outcome::TimedOut, false);
         }
     }
 
-    pub(super) fn calls_out(&self, id: PeerId) -> Vec<u64> {
+    pub(super) fn calls_with_attempt_at(&self, id: PeerId) -> Vec<u64> {
         let Some(slot) = self.peers.get(id.0 as usize) else { return Vec::new() };
         let out = slot.requests.iter().filter_map(|(_, request)| match request {
             Request::SetUp { call, .. } => Some(*call),
@@ -329,7 +334,7 @@
     pub(super) fn peer_draining(&mut self, id: PeerId, cause: DisconnectCause) {
         let host = self.host(id);
         self.notice(Notice::PeerDraining(host, cause));
-        self.member_linked(id, false);
+        self.set_member_linked(id, false);
         let Some(Role::Server(server)) = self.peers.get(id.0 as usize).map(|slot| slot.role) else { return };
         if let Some(state) = self.servers.get_mut(server) {
             state.leaving = true;
@@ -341,34 +346,41 @@
     pub(super) fn peer_down(&mut self, id: PeerId, reason: DownReason) {
         let host = self.host(id);
         self.notice(Notice::PeerDown(host, reason.clone()));
-        if self.member_linked(id, false) {
+        if self.set_member_linked(id, false) {
             return;
         }
-        let fresh = HopByHop::new(self.rng.random());
+        let new_requests = HopByHop::new(self.rng.random());
         let Some(slot) = self.peers.get_mut(id.0 as usize) else { return };
-        let mut requests = std::mem::replace(&mut slot.requests, fresh);
+        let mut requests = std::mem::replace(&mut slot.requests, new_requests);
         let (epoch, role) = (slot.epoch, slot.role);
         for (_, request) in requests.drain() {
             match request {
                 Request::SetUp { call, token: None } => {
                     if let Some(session) = self.calls.get(&call).map(|call| call.session.clone()) {
-                        self.owe(id, session);
+                        self.queue_release(id, session);
                     }
                     self.attempt_ended(call, Outcome::Reset, Reason::None, None, false);
                 }
                 Request::SetUp { call, token: Some(_) } => {
-                    // The group releases the circuit, once the server is back.
-                    let circuit = self.calls.get(&call).and_then(|call| call.out).and_then(|out| out.circuit);
+                    // The trunk group releases the circuit once the server is back.
+                    let circuit = self
+                        .calls
+                        .get(&call)
+                        .and_then(|call| call.pending)
+                        .and_then(|pending| pending.circuit);
                     self.attempt_ended(call, Outcome::Reset, Reason::None, None, false);
                     if let Some(circuit) = circuit {
                         self.with_group(id, |group, now, out| group.release(now, circuit, out));
                     }
                 }
-                Request::GivenUp { session, token: None } | Request::Release { session, .. } => {
-                    self.owe(id, session);
+                Request::Abandoned { session, token: None } | Request::Release { session, .. } => {
+                    self.queue_release(id, session);
                 }
                 Request::Incoming { server, circuit, call } => self.client_answered(server, circuit, call, 0),
-                Request::GivenUp { .. } | Request::Circuits { .. } | Request::Word | Request::Abort => {}
+                Request::Abandoned { .. }
+                | Request::Circuits { .. }
+                | Request::FleetWord
+                | Request::Abort => {}
             }
         }
         let timing = &self.settings.timing;
@@ -378,49 +390,51 @@
             (Role::Server(_), _) => timing.server_return,
             (Role::Member(_), _) => return,
         };
-        let taken_away = match role {
+        let removed = match role {
             Role::Server(server) => {
                 self.servers.get(server).is_some_and(|server| server.listed == Availability::Gone)
             }
             _ => false,
         };
-        if taken_away {
-            // It is not dialled again: what came to stand there since the list said so is over now.
+        if removed {
+            // The server is not dialled again, so calls established since the list removed it are cut now.
             self.cut_calls(id, "its server was taken away");
         }
         if self.stopping {
             if role == Role::Client {
-                self.client_is_gone(id);
+                self.end_client_calls(id);
             }
             self.finish_stopping(false);
         } else {
-            self.wheel.set(self.now + grace, Timer::Return(id, epoch));
+            self.wheel.set(self.now + grace, Timer::ReturnTimeout(id, epoch));
         }
     }
 
-    /// A release that waits for its server to come back. Bounded: what is beyond is left to the server's
-    /// own session supervision.
-    pub(super) fn owe(&mut self, id: PeerId, session: Arc<str>) {
-        let most = self.settings.max_calls;
-        if let Some(slot) = self.peers.get_mut(id.0 as usize).filter(|slot| slot.owed.len() < most) {
-            slot.owed.push(session);
+    /// Keeps a release until its server is back. The number is bounded; releases beyond it are left to the
+    /// server's own session supervision.
+    pub(super) fn queue_release(&mut self, id: PeerId, session: Arc<str>) {
+        let limit = self.settings.max_calls;
+        if let Some(slot) =
+            self.peers.get_mut(id.0 as usize).filter(|slot| slot.pending_releases.len() < limit)
+        {
+            slot.pending_releases.push(session);
         }
     }
 
-    pub(super) fn did_not_return(&mut self, id: PeerId, epoch: u32) {
+    pub(super) fn return_timed_out(&mut self, id: PeerId, epoch: u32) {
         let Some(slot) = self.peers.get(id.0 as usize) else { return };
         if slot.epoch != epoch || slot.peer.is_open() {
             return;
         }
         match slot.role {
-            Role::Client => self.client_is_gone(id),
+            Role::Client => self.end_client_calls(id),
             Role::Server(_) => self.cut_calls(id, "its server did not come back"),
             Role::Member(_) => {}
         }
     }
 
-    pub(super) fn client_is_gone(&mut self, id: PeerId) {
-        self.incoming_of_client_over(id);
+    pub(super) fn end_client_calls(&mut self, id: PeerId) {
+        self.end_incoming_calls_of_client(id);
         let mut calls: Vec<u64> =
             self.calls.iter().filter(|(_, call)| call.client == id).map(|(id, _)| *id).collect();
         calls.sort_unstable();
@@ -429,19 +443,19 @@
         }
     }
 
-    pub(super) fn cut_calls(&mut self, id: PeerId, why: &'static str) {
-        let stands = |call: &Call| call.standing.is_some_and(|(_, peer)| peer == id);
+    pub(super) fn cut_calls(&mut self, id: PeerId, reason: &'static str) {
+        let is_standing = |call: &Call| call.standing.is_some_and(|(_, peer)| peer == id);
         let mut calls: Vec<u64> =
-            self.calls.iter().filter(|(_, call)| stands(call)).map(|(id, _)| *id).collect();
+            self.calls.iter().filter(|(_, call)| is_standing(call)).map(|(id, _)| *id).collect();
         calls.sort_unstable();
         for call in calls {
-            self.cut(call, why);
+            self.cut_call(call, reason);
         }
     }
 
-    // ---- The list ----
+    // ---- The server list ----
 
-    pub(super) fn list(&mut self, news: ListNews) {
+    pub(super) fn update_list(&mut self, news: ListNews) {
         let (entries, complete) = match news {
             ListNews::Complete(entries) => (entries, true),
             ListNews::Changes(entries) => (entries, false),
@@ -463,7 +477,7 @@
                 Some(server) => server.peer,
                 None => self.add_peer(entry.host.clone(), Role::Server(self.servers.next_id())),
             };
-            let id = self.servers.put(self.now, entry, peer);
+            let id = self.servers.update(self.now, entry, peer);
             named.push(id);
         }
         if complete {
@@ -490,7 +504,7 @@
         };
         let ready = count(Availability::Ready, &self.servers);
         let draining = count(Availability::Draining, &self.servers);
-        self.notice(Notice::Listed { ready, draining });
+        self.notice(Notice::ListUpdated { ready, draining });
         let peers: Vec<(PeerId, Availability)> =
             self.servers.iter().map(|(_, s)| (s.peer, s.listed)).collect();
         for (peer, listed) in peers {
@@ -498,11 +512,12 @@
             match listed {
                 Availability::Gone if !self.peers[peer.0 as usize].peer.is_idle() => {
                     self.cut_calls(peer, "its server was taken away");
-                    self.tell_peer(peer, PeerInput::Disconnect(DisconnectCause::DoNotWantToTalkToYou));
+                    self.drive_peer(peer, PeerInput::Disconnect(DisconnectCause::DoNotWantToTalkToYou));
                 }
-                // Also while its connection is being ended, as by a line that came late: it is to be had again.
+                // Also while its connection is being closed, for example by an outdated entry: the server is
+                // in use again.
                 Availability::Ready if !self.stopping => {
-                    self.tell_peer(peer, PeerInput::Start);
+                    self.drive_peer(peer, PeerInput::Start);
                 }
                 _ => {}
             }
--- a/crates/lemoncleat-node/src/node/trunks.rs
+++ b/crates/lemoncleat-node/src/node/trunks.rs
@@ -1,10 +1,11 @@
 //! Trunk groups toward servers: circuits seized for attempts, and calls that servers set up toward clients.
 //!
-//! The states, glare and audits are lemoncleat-circuits'; here they meet Diameter and the calls. A dual seizure
-//! that a call yields to is repaired *within* its attempt: the controlling end disregards the seizure, so that
-//! the call provably never ran there, nothing of it is out when the next circuit is seized (rule 2), and it was
-//! neither timed out nor reset nor cancelled (rule 5). Repeats are bounded in number and by the attempt's time;
-//! after that the module hears that no circuit was free and decides anew.
+//! Circuit states, glare and audits are implemented in lemoncleat-circuits; this module connects them to
+//! Diameter and to calls. When a call yields to a dual seizure, the seizure is repeated *within* its attempt.
+//! The controlling end disregards the yielding seizure, so the call provably never ran there: nothing of it
+//! is pending when the next circuit is seized (rule 2), and it was not timed out, reset or cancelled (rule
+//! 5). The repeats are bounded in number and by the attempt's time; after that the module is told that no
+//! circuit was free and decides again.
 
 use lemoncleat_circuits::glare::{after_yield, Control, Next, Repeats};
 use lemoncleat_circuits::{
@@ -19,17 +20,17 @@
 /// The trunk group toward one server.
 pub(super) struct Trunk {
     pub group: Group,
-    /// Sessions of calls of this end (true) and of the other's.
+    /// Sessions of calls of this end (true) and of the other end (false).
     sessions: FxHashMap<(bool, CallRef), Arc<str>>,
-    /// Requests of the server that wait for their answer.
-    arriving: FxHashMap<Token, (ConnId, Vec<u8>)>,
-    /// Calls that the server set up.
+    /// Requests of the server that are not answered yet.
+    unanswered_requests: FxHashMap<Token, (ConnId, Vec<u8>)>,
+    /// Calls set up by the server.
     pub incoming: FxHashMap<CallRef, Incoming>,
     next_ref: CallRef,
     blocked: bool,
     armed: Option<Micros>,
-    /// Free circuits as the module was told last.
-    told: usize,
+    /// The number of free circuits last reported to the module.
+    reported_free: usize,
 }
 
 /// A call that a server set up toward a client.
@@ -37,9 +38,9 @@
     pub session: Arc<str>,
     pub circuit: CircuitId,
     pub client: Option<PeerId>,
-    /// The token of its seizure, which is owed an answer.
+    /// The token of its seizure, which needs an answer.
     token: Token,
-    /// When its caller gives up, where its request tells.
+    /// When its caller gives up, if its request says so.
     deadline: Option<Deadline>,
     deadline_timer: Option<TimerKey>,
 }
@@ -56,21 +57,21 @@
         Trunk {
             group: Group::new(settings, now, seed),
             sessions: FxHashMap::default(),
-            arriving: FxHashMap::default(),
+            unanswered_requests: FxHashMap::default(),
             incoming: FxHashMap::default(),
             next_ref: 1,
             blocked: false,
             armed: None,
-            told: usize::MAX,
+            reported_free: usize::MAX,
         }
     }
 
-    /// The deadline of the set-up that arrived with this token.
+    /// Returns the deadline of the set-up that arrived with this token.
     fn deadline(&self, token: Token) -> Option<Deadline> {
-        self.incoming.values().find(|held| held.token == token).and_then(|held| held.deadline)
+        self.incoming.values().find(|incoming| incoming.token == token).and_then(|incoming| incoming.deadline)
     }
 
-    /// What the group tells the module: circuits free and in all.
+    /// Adds the group's free and total circuits to a report for the module.
     pub fn report(&self, report: Option<Report>) -> Report {
         Report {
             free: Some(self.group.free() as f64),
@@ -80,49 +81,49 @@
     }
 }
 
-/// What an operator asks of a group's circuits.
+/// An operator's command on circuits of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitOrder {
-    /// Block them at this end: for a hardware failure at once, otherwise calls go on.
+    /// Block the circuits at this end: at once for a hardware failure, otherwise without affecting calls.
     Block {
-        /// For a hardware failure.
+        /// Whether the block is for a hardware failure.
         hardware: bool,
     },
-    /// Take such a block back.
+    /// Remove such a block.
     Unblock {
-        /// The one for a hardware failure.
+        /// Whether to remove the block for a hardware failure.
         hardware: bool,
     },
-    /// Reset them: whatever they hold is over.
+    /// Reset the circuits; calls on them end.
     Reset,
-    /// Begin an audit of the whole group now.
+    /// Start an audit of the whole group now.
     Audit,
 }
 
-/// A trunk group as it is.
+/// The status of a trunk group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupStatus {
-    /// The server at its far end.
+    /// The server at the far end.
     pub server: Arc<str>,
-    /// How many circuits are in which state.
+    /// The number of circuits in each state.
     pub counts: lemoncleat_circuits::Counts,
-    /// Requests about circuits that wait for a reply.
+    /// The number of circuit requests that await a reply.
     pub waiting: usize,
 }
 
-/// A circuit as it is.
+/// The status of a circuit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CircuitStatus {
-    /// Its number.
+    /// The circuit's number.
     pub circuit: CircuitId,
-    /// Its state.
+    /// The circuit's state.
     pub state: lemoncleat_circuits::State,
-    /// Blocked at this end, at the other.
+    /// Blocks at this end and at the other.
     pub blocked: (lemoncleat_circuits::Blocks, lemoncleat_circuits::Blocks),
 }
 
 impl Node {
-    /// All trunk groups.
+    /// Returns the status of all trunk groups.
     pub fn groups(&self) -> Vec<GroupStatus> {
         let groups = self.peers.iter().filter_map(|slot| {
             let group = &slot.trunk.as_ref()?.group;
@@ -131,17 +132,18 @@
         groups.collect()
     }
 
-    /// Circuits of the group toward a server that are not simply idle.
+    /// Returns the circuits of the group toward a server that are blocked or not idle.
     ///
     /// # Errors
     ///
-    /// When there is no such group.
+    /// If there is no such group.
     pub fn circuits(&self, server: &str) -> Result<Vec<CircuitStatus>, String> {
         let group = &self.trunk(self.group_of(server)?).ok_or("no trunk group")?.group;
         let circuits = (0..group.settings().size).filter_map(|circuit| {
             let (state, blocked) = (group.state(circuit)?, group.blocks(circuit)?);
-            let plain = state == lemoncleat_circuits::State::Idle && !blocked.0.any() && !blocked.1.any();
-            (!plain).then_some(CircuitStatus { circuit, state, blocked })
+            let in_service =
+                state == lemoncleat_circuits::State::Idle && !blocked.0.any() && !blocked.1.any();
+            (!in_service).then_some(CircuitStatus { circuit, state, blocked })
         });
         Ok(circuits.collect())
     }
@@ -151,11 +153,11 @@
         peer.ok_or_else(|| format!("there is no trunk group toward {server:?}"))
     }
 
-    /// Carries out what an operator asks.
+    /// Carries out an operator's command.
     ///
     /// # Errors
     ///
-    /// When there is no such group or circuit.
+    /// If there is no such group or circuit.
     pub(super) fn order_circuits(
         &mut self,
         server: &str,
@@ -189,7 +191,7 @@
         self.peers.get(peer.0 as usize)?.trunk.as_ref()
     }
 
-    /// Lets a group act, and carries out what it asks for.
+    /// Runs an action on a group and carries out the events that it produces.
     pub(super) fn with_group(
         &mut self,
         peer: PeerId,
@@ -203,23 +205,23 @@
             self.circuit_event(peer, event);
         }
         self.arm_trunk(peer);
-        self.tell_free(peer);
+        self.report_free_circuits(peer);
         events
     }
 
-    /// The module hears of free circuits whenever their number changes.
-    fn tell_free(&mut self, peer: PeerId) {
+    /// Reports the number of free circuits to the module when it changes.
+    fn report_free_circuits(&mut self, peer: PeerId) {
         let Some(slot) = self.peers.get_mut(peer.0 as usize) else { return };
         let (Some(trunk), Role::Server(server)) = (slot.trunk.as_mut(), slot.role) else { return };
         let free = trunk.group.free();
-        if std::mem::replace(&mut trunk.told, free) != free {
+        if std::mem::replace(&mut trunk.reported_free, free) != free {
             let report = trunk.report(None);
             self.events.push_back(Event::Probed { server, outcome: Outcome::Ok, lag: 0, report });
         }
     }
 
-    /// Forgets sessions of calls that are long over. One that a release still needs makes no harm: the circuit
-    /// is reset in the end.
+    /// Drops sessions of calls that ended long ago. If a release still needs one of them, the circuit is
+    /// eventually reset.
     fn prune_sessions(&mut self, peer: PeerId) {
         let calls = &self.calls;
         let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) else {
@@ -256,9 +258,9 @@
         self.arm_trunk(peer);
     }
 
-    /// The connection with a server is open: a group begins with a reset after a restart of either end, and
-    /// goes on where it was otherwise. What the two ends say of the group is compared.
-    pub(super) fn trunk_open(&mut self, peer: PeerId, capabilities: &[u8], anew: bool) {
+    /// Handles an open connection with a server: the group starts with a reset after a restart of either end,
+    /// and continues where it was otherwise. The two ends' parameters of the group are compared.
+    pub(super) fn open_trunk(&mut self, peer: PeerId, capabilities: &[u8], restarted: bool) {
         let Some(settings) = self.settings.circuits.clone() else { return };
         let host = self.host(peer);
         if let Ok(message) = MessageRef::parse(capabilities) {
@@ -266,7 +268,8 @@
             let control = message.number(d::CIRCUIT_CONTROL);
             let size = message.number(d::CIRCUIT_COUNT);
             if control.is_some_and(|control| control != own.opposite().parity()) {
-                let text = "it claims circuits that this node controls by the two names".to_owned();
+                let text =
+                    "it claims circuits that this node controls according to the two host names".to_owned();
                 self.notice(Notice::CircuitsDiffer(host.clone(), text));
             }
             if let Some(size) = size.filter(|size| *size != settings.size) {
@@ -280,14 +283,14 @@
         let own = &self.local.host;
         let now = self.now;
         slot.trunk.get_or_insert_with(|| Trunk::new(&settings, own, &host, now, seed));
-        if fresh || anew {
+        if fresh || restarted {
             self.with_group(peer, |group, now, out| group.restart(now, out));
         } else {
             self.with_group(peer, |group, now, out| group.reconnected(now, out));
         }
     }
 
-    /// A drain blocks the group, so that neither end seizes; its end unblocks it.
+    /// Blocks the group during a drain, so that neither end seizes circuits, and unblocks it afterwards.
     pub(super) fn block_for_drain(&mut self, peer: PeerId, on: bool) {
         let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) else {
             return;
@@ -300,12 +303,12 @@
 
     // ---- Attempts ----
 
-    /// Seizes a circuit for the attempt that is out; without a free one the module is told so.
-    pub(super) fn seize_attempt(&mut self, id: u64, away: bool) {
-        let Some(out) = self.calls.get(&id).and_then(|call| call.out) else { return };
+    /// Seizes a circuit for the pending attempt; if none is free, the attempt ends and the module is told.
+    pub(super) fn seize_for_attempt(&mut self, id: u64, away: bool) {
+        let Some(pending) = self.calls.get(&id).and_then(|call| call.pending) else { return };
         let mut chosen = None;
-        self.prune_sessions(out.peer);
-        self.with_group(out.peer, |group, now, events| chosen = group.seize(now, id, away, events));
+        self.prune_sessions(pending.peer);
+        self.with_group(pending.peer, |group, now, events| chosen = group.seize(now, id, away, events));
         if chosen.is_none() {
             self.attempt_ended(id, Outcome::Full, Reason::NoCircuit, None, false);
         }
@@ -313,48 +316,49 @@
 
     fn transmit_seizure(&mut self, peer: PeerId, token: Token, circuit: CircuitId, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let Some(out) = call.out.as_mut() else { return };
+        let Some(pending) = call.pending.as_mut() else { return };
         let Some(slot) = self.peers.get_mut(peer.0 as usize) else { return };
         let (host, conn) = (slot.host.clone(), slot.peer.connection());
         let hop_by_hop = slot.requests.begin(Request::SetUp { call: id, token: Some(token) });
         if let Some(trunk) = slot.trunk.as_mut() {
             trunk.sessions.insert((true, id), call.session.clone());
         }
-        (out.hop_by_hop, out.circuit) = (hop_by_hop, Some(circuit));
-        let again = out.number > 0 || out.yields > 0;
+        (pending.hop_by_hop, pending.circuit) = (hop_by_hop, Some(circuit));
+        let retransmitted = pending.number > 0 || pending.yields > 0;
         let client = &self.peers[call.client.0 as usize].host;
-        let bytes = attempt_request(call, hop_by_hop, again, &host, client, Some(circuit));
-        self.step(id, || CallStep::Sent(host));
+        let bytes = attempt_request(call, hop_by_hop, retransmitted, &host, client, Some(circuit));
+        self.trace_step(id, || CallStep::Sent(host));
         if let (Some(conn), Some(bytes)) = (conn, bytes) {
             self.send(conn, bytes);
         }
     }
 
-    fn yielded(&mut self, id: u64) {
+    fn seizure_yielded(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let left = call.deadline.answer_by() - self.now;
-        let Some(out) = call.out.as_mut() else { return };
-        out.yields += 1;
-        out.circuit = None;
-        let (yields, number) = (out.yields, out.number);
+        let time_left = call.deadline.answer_by() - self.now;
+        let Some(pending) = call.pending.as_mut() else { return };
+        pending.yields += 1;
+        pending.circuit = None;
+        let (yields, number) = (pending.yields, pending.number);
         self.stats.yields += 1;
-        match after_yield(yields, left, Repeats::default(), &mut self.rng) {
-            Next::Again => self.seize_attempt(id, false),
+        match after_yield(yields, time_left, Repeats::default(), &mut self.rng) {
+            Next::Again => self.seize_for_attempt(id, false),
             Next::Away(wait) => {
-                self.wheel.set(self.now + wait, Timer::SeizeAgain(id, number));
+                self.wheel.set(self.now + wait, Timer::RetrySeizure(id, number));
             }
             Next::GiveUp => self.attempt_ended(id, Outcome::Full, Reason::NoCircuit, None, false),
         }
     }
 
-    pub(super) fn seize_again(&mut self, id: u64, number: u32) {
-        let out = self.calls.get(&id).and_then(|call| call.out);
-        if out.is_some_and(|out| out.number == number && out.circuit.is_none()) {
-            self.seize_attempt(id, true);
+    pub(super) fn retry_seizure(&mut self, id: u64, number: u32) {
+        let pending = self.calls.get(&id).and_then(|call| call.pending);
+        if pending.is_some_and(|pending| pending.number == number && pending.circuit.is_none()) {
+            self.seize_for_attempt(id, true);
         }
     }
 
-    /// The answer to a seizure, as the group sees it; whether the call stands, or is refused for its own sake.
+    /// Passes the answer to a seizure to the group. Returns whether the call is established, or `Some(false)`
+    /// if it was refused for a reason of the call itself.
     pub(super) fn seizure_answered(
         &mut self,
         peer: PeerId,
@@ -370,45 +374,46 @@
         })
     }
 
-    // ---- What a group asks for ----
+    // ---- Events of a group ----
 
     fn circuit_event(&mut self, peer: PeerId, event: CircuitEvent) {
         match event {
             CircuitEvent::Send(token, CircuitRequest::Seize { circuit, call }) => {
                 self.transmit_seizure(peer, token, circuit, call);
             }
-            CircuitEvent::Send(token, request) => self.transmit_circuits(peer, token, &request),
-            CircuitEvent::Reply(token, reply) => self.reply_circuits(peer, token, &reply),
+            CircuitEvent::Send(token, request) => self.transmit_circuit_request(peer, token, &request),
+            CircuitEvent::Reply(token, reply) => self.reply_to_circuit_request(peer, token, &reply),
             CircuitEvent::Offered(circuit, call) => self.offer_to_client(peer, circuit, call),
             CircuitEvent::Stands(..) | CircuitEvent::Refused(_, _, Refusal::Call) => {}
-            CircuitEvent::Yielded(_, call) | CircuitEvent::Refused(_, call, _) => self.yielded(call),
+            CircuitEvent::Yielded(_, call) | CircuitEvent::Refused(_, call, _) => self.seizure_yielded(call),
             CircuitEvent::Lost(_, call) => {
                 self.attempt_ended(call, Outcome::TimedOut, Reason::None, None, false)
             }
             CircuitEvent::Ended(_, call, true) | CircuitEvent::Cut(_, call, true) => {
                 if self.calls.get(&call).is_some_and(|call| call.standing.is_some()) {
-                    self.cut(call, "its circuit was released");
+                    self.cut_call(call, "its circuit was released");
                 } else {
                     self.attempt_ended(call, Outcome::Reset, Reason::None, None, false);
                 }
             }
             CircuitEvent::Ended(_, call, false) | CircuitEvent::Cut(_, call, false) => {
-                self.incoming_over(peer, call, true);
+                self.end_incoming_call(peer, call, true);
             }
             CircuitEvent::Dispute(circuit) => {
                 let host = self.host(peer);
-                let text = format!("who controls circuit {circuit} is not agreed");
+                let text = format!("the two ends disagree on who controls circuit {circuit}");
                 self.notice(Notice::CircuitsDiffer(host, text));
             }
             CircuitEvent::Mended(circuit, difference) => {
                 let host = self.host(peer);
-                self.notice(Notice::CircuitMended(host, circuit, format!("{difference:?}")));
+                self.notice(Notice::CircuitCorrected(host, circuit, format!("{difference:?}")));
             }
         }
     }
 
-    /// A release or a supervision request goes out, if the connection stands; otherwise it waits in the group.
-    fn transmit_circuits(&mut self, peer: PeerId, token: Token, request: &CircuitRequest) {
+    /// Sends a release or a supervision request if the connection is open; otherwise the request waits in the
+    /// group.
+    fn transmit_circuit_request(&mut self, peer: PeerId, token: Token, request: &CircuitRequest) {
         let Some(slot) = self.peers.get_mut(peer.0 as usize) else { return };
         let Some(conn) = slot.peer.connection().filter(|_| slot.peer.is_open()) else { return };
         let hop_by_hop = slot.requests.begin(Request::Circuits { token });
@@ -436,10 +441,10 @@
         self.send(conn, message.build());
     }
 
-    fn reply_circuits(&mut self, peer: PeerId, token: Token, reply: &Reply) {
+    fn reply_to_circuit_request(&mut self, peer: PeerId, token: Token, reply: &Reply) {
         let Some(slot) = self.peers.get_mut(peer.0 as usize) else { return };
         let Some(trunk) = slot.trunk.as_mut() else { return };
-        let Some((conn, bytes)) = trunk.arriving.remove(&token) else { return };
+        let Some((conn, bytes)) = trunk.unanswered_requests.remove(&token) else { return };
         let Ok(request) = MessageRef::parse(&bytes) else { return };
         let answer = match (request.header.command, reply) {
             (d::CMD_CIRCUITS, reply) => wire::supervision_answer(&request, reply),
@@ -457,90 +462,90 @@
             d::CMD_AA => trunk.deadline(token),
             _ => None,
         };
-        self.answer_set_up(conn, deadline, answer);
+        self.send_final_answer(conn, deadline, answer);
     }
 
-    // ---- What a server asks for ----
+    // ---- Requests of a server ----
 
-    /// A request of a server that is about circuits: a seizure for a call of its own, a release, supervision.
-    pub(super) fn circuits_asked(&mut self, peer: PeerId, conn: ConnId, message: &MessageRef<'_>) {
-        let head = message.header;
+    /// Handles a circuit request of a server: a seizure for a call of its own, a release, or supervision.
+    pub(super) fn handle_circuit_request(&mut self, peer: PeerId, conn: ConnId, message: &MessageRef<'_>) {
+        let header = message.header;
         let session = message.text(d::SESSION_ID).unwrap_or_default();
-        let (arrived, margin) = (self.arrived(), self.settings.timing.answer_margin);
+        let (arrived, margin) = (self.arrival_time(), self.settings.timing.answer_margin);
         let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) else {
             return;
         };
         let circuit = message.number(d::CIRCUIT_ID);
         let patience = message.number(d::SETUP_PATIENCE).map(|ms| Micros::from(ms) * 1_000);
         let deadline = patience.map(|time| Deadline::new(arrived, time, margin));
-        let (token, request) = match (head.command, circuit) {
+        let (token, request) = match (header.command, circuit) {
             (d::CMD_AA, Some(circuit)) => {
                 let call = trunk.next_ref;
                 trunk.next_ref += 1;
                 let session: Arc<str> = session.into();
                 let timer = Timer::IncomingDeadline(peer, call);
-                let held = Incoming {
+                let incoming = Incoming {
                     session: session.clone(),
                     circuit,
                     client: None,
-                    token: head.hop_by_hop,
+                    token: header.hop_by_hop,
                     deadline,
                     deadline_timer: deadline.map(|deadline| self.wheel.set(deadline.last_moment(), timer)),
                 };
-                trunk.incoming.insert(call, held);
+                trunk.incoming.insert(call, incoming);
                 self.incoming_sessions.insert(session, (peer, call));
-                (head.hop_by_hop, Some(CircuitRequest::Seize { circuit, call }))
+                (header.hop_by_hop, Some(CircuitRequest::Seize { circuit, call }))
             }
             (d::CMD_SESSION_TERMINATION | d::CMD_ABORT_SESSION, circuit) => {
                 let own = self.sessions.get(session).copied();
                 let theirs = self.incoming_sessions.get(session).map(|(_, call)| *call);
-                let held = own.and_then(|id| self.calls.get(&id)).and_then(|call| call.circuit);
-                let circuit = circuit.or(held).unwrap_or(u32::MAX);
+                let own_circuit = own.and_then(|id| self.calls.get(&id)).and_then(|call| call.circuit);
+                let circuit = circuit.or(own_circuit).unwrap_or(u32::MAX);
                 let (call, outgoing) = match (own, theirs) {
                     (Some(call), _) => (call, false),
                     (None, Some(call)) => (call, true),
                     (None, None) => (u64::MAX, true),
                 };
-                (head.end_to_end, Some(CircuitRequest::Release { circuit, call, outgoing }))
+                (header.end_to_end, Some(CircuitRequest::Release { circuit, call, outgoing }))
             }
-            (d::CMD_CIRCUITS, _) => (head.end_to_end, wire::read_supervision(message)),
-            _ => (head.hop_by_hop, None),
+            (d::CMD_CIRCUITS, _) => (header.end_to_end, wire::read_supervision(message)),
+            _ => (header.hop_by_hop, None),
         };
         let Some(request) = request else {
             let answer = MessageBuilder::answer(message, code::UNABLE_TO_COMPLY);
             let answer = self.local.sign(answer).build();
-            self.answer_set_up(conn, deadline, answer);
+            self.send_final_answer(conn, deadline, answer);
             return;
         };
-        // Tokens of seizures and of the rest are two kinds of identifier, which may happen to be one number: a
-        // seizure that waits keeps its place.
+        // Tokens of seizures and of other requests are different kinds of identifiers that may have the same
+        // value: a waiting seizure keeps its entry.
         let mut waiting = None;
         if let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) {
-            waiting = trunk.arriving.insert(token, (conn, message.bytes.to_vec()));
+            waiting = trunk.unanswered_requests.insert(token, (conn, message.bytes.to_vec()));
         }
         let offered = matches!(request, CircuitRequest::Seize { .. });
         let events = self.with_group(peer, |group, now, out| group.request(now, token, &request, out));
         if let (Some(waiting), Some(trunk)) = (waiting, self.peers[peer.0 as usize].trunk.as_mut()) {
-            trunk.arriving.entry(token).or_insert(waiting);
+            trunk.unanswered_requests.entry(token).or_insert(waiting);
         }
         if let CircuitRequest::Seize { call, .. } = request {
-            // Refused at once: nothing of it stays.
+            // Refused at once: its state is dropped.
             let refused =
                 events.iter().any(|event| matches!(event, CircuitEvent::Reply(t, _) if *t == token));
             if offered && refused {
-                self.incoming_over(peer, call, false);
+                self.end_incoming_call(peer, call, false);
             }
         }
     }
 
-    /// A call of a server goes to the client that it names, or to any that is there.
+    /// Offers a call of a server to the client that it names, or to any connected client.
     fn offer_to_client(&mut self, peer: PeerId, circuit: CircuitId, call: CallRef) {
         let bytes = self.trunk(peer).and_then(|trunk| {
-            let held = trunk.incoming.get(&call)?;
+            let incoming = trunk.incoming.get(&call)?;
             let with = |bytes: &&(ConnId, Vec<u8>)| {
-                MessageRef::parse(&bytes.1).is_ok_and(|m| m.text(d::SESSION_ID) == Some(&held.session))
+                MessageRef::parse(&bytes.1).is_ok_and(|m| m.text(d::SESSION_ID) == Some(&incoming.session))
             };
-            trunk.arriving.values().find(with).map(|(_, bytes)| bytes.clone())
+            trunk.unanswered_requests.values().find(with).map(|(_, bytes)| bytes.clone())
         });
         let Some(bytes) = bytes else { return };
         let Ok(request) = MessageRef::parse(&bytes) else { return };
@@ -550,13 +555,13 @@
         let any = || self.peers.iter().position(usable).map(|at| PeerId(at as u32));
         let Some(client) = named.or_else(any).filter(|_| !self.stopping) else {
             self.with_group(peer, |group, now, out| group.release(now, circuit, out));
-            return self.incoming_over(peer, call, false);
+            return self.end_incoming_call(peer, call, false);
         };
         let slot = &mut self.peers[client.0 as usize];
         let hop_by_hop = slot.requests.begin(Request::Incoming { server: peer, circuit, call });
-        let head = request.header;
+        let header = request.header;
         let mut message =
-            MessageBuilder::request(head.command, head.application, true, hop_by_hop, head.end_to_end);
+            MessageBuilder::request(header.command, header.application, true, hop_by_hop, header.end_to_end);
         for avp in request.avps().map_while(Result::ok) {
             let for_the_node = avp.vendor == Some(d::VENDOR) && avp.code == d::CIRCUIT_ID.code;
             if !for_the_node && (avp.code != d::DESTINATION_HOST.code || avp.vendor.is_some()) {
@@ -567,8 +572,8 @@
         let message = message.add_str(d::DESTINATION_HOST, &slot.host.clone());
         let server = self.host(peer);
         if let Some(trunk) = self.peers[peer.0 as usize].trunk.as_mut() {
-            if let Some(held) = trunk.incoming.get_mut(&call) {
-                held.client = Some(client);
+            if let Some(incoming) = trunk.incoming.get_mut(&call) {
+                incoming.client = Some(client);
             }
         }
         if let Some(conn) = conn {
@@ -576,25 +581,27 @@
         }
     }
 
-    /// A client answered the set-up of a server's call.
+    /// Handles a client's answer to the set-up of a server's call.
     pub(super) fn client_answered(&mut self, server: PeerId, circuit: CircuitId, call: CallRef, result: u32) {
-        let held = self.trunk(server).is_some_and(|trunk| trunk.incoming.contains_key(&call));
-        if !held {
+        let known = self.trunk(server).is_some_and(|trunk| trunk.incoming.contains_key(&call));
+        if !known {
             return;
         }
-        let deadline = self.trunk(server).and_then(|t| t.incoming.get(&call)).and_then(|held| held.deadline);
-        if result == code::SUCCESS && deadline.is_some_and(|deadline| !self.is_open(deadline)) {
-            // Its caller at the server has given up: the client that took it is told that it is over.
+        let deadline =
+            self.trunk(server).and_then(|t| t.incoming.get(&call)).and_then(|incoming| incoming.deadline);
+        if result == code::SUCCESS && deadline.is_some_and(|deadline| !self.may_answer(deadline)) {
+            // The caller at the server has given up: the client that accepted the call is told that it has
+            // ended.
             self.stats.late += 1;
             self.with_group(server, |group, now, out| group.release(now, circuit, out));
-            return self.incoming_over(server, call, true);
+            return self.end_incoming_call(server, call, true);
         }
         if result == code::SUCCESS {
             let mut timer = None;
             let session = self.peers[server.0 as usize].trunk.as_mut().and_then(|trunk| {
-                let held = trunk.incoming.get_mut(&call)?;
-                timer = held.deadline_timer.take();
-                Some(held.session.clone())
+                let incoming = trunk.incoming.get_mut(&call)?;
+                timer = incoming.deadline_timer.take();
+                Some(incoming.session.clone())
             });
             if let Some(timer) = timer {
                 self.wheel.cancel(timer);
@@ -606,70 +613,71 @@
             self.with_group(server, |group, _, out| group.accept(circuit, out));
         } else {
             self.with_group(server, |group, now, out| group.release(now, circuit, out));
-            self.incoming_over(server, call, false);
+            self.end_incoming_call(server, call, false);
         }
     }
 
-    /// A call of a server whose client has not answered by the last moment is failed.
-    pub(super) fn incoming_last_moment(&mut self, peer: PeerId, call: CallRef) {
+    /// Fails a call of a server whose client has not answered shortly before the deadline.
+    pub(super) fn incoming_deadline_guard(&mut self, peer: PeerId, call: CallRef) {
         let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) else {
             return;
         };
-        let Some(held) = trunk.incoming.get_mut(&call) else { return };
-        held.deadline_timer = None;
-        let circuit = held.circuit;
+        let Some(incoming) = trunk.incoming.get_mut(&call) else { return };
+        incoming.deadline_timer = None;
+        let circuit = incoming.circuit;
         self.with_group(peer, |group, now, out| group.release(now, circuit, out));
-        self.incoming_over(peer, call, true);
+        self.end_incoming_call(peer, call, true);
     }
 
-    /// A client releases a call that a server had set up.
-    pub(super) fn incoming_released(&mut self, session: &str) -> bool {
+    /// Handles a client's release of a call that a server had set up.
+    pub(super) fn release_incoming_call(&mut self, session: &str) -> bool {
         let Some((peer, call)) = self.incoming_sessions.get(session).copied() else { return false };
-        let circuit = self.trunk(peer).and_then(|trunk| trunk.incoming.get(&call)).map(|held| held.circuit);
-        self.incoming_over(peer, call, false);
+        let circuit =
+            self.trunk(peer).and_then(|trunk| trunk.incoming.get(&call)).map(|incoming| incoming.circuit);
+        self.end_incoming_call(peer, call, false);
         if let Some(circuit) = circuit {
             self.with_group(peer, |group, now, out| group.release(now, circuit, out));
         }
         true
     }
 
-    /// A call of a server is over; its client is told if it does not know.
-    fn incoming_over(&mut self, peer: PeerId, call: CallRef, tell: bool) {
+    /// Ends a call of a server and notifies its client if it does not know.
+    fn end_incoming_call(&mut self, peer: PeerId, call: CallRef, notify: bool) {
         let Some(trunk) = self.peers.get_mut(peer.0 as usize).and_then(|slot| slot.trunk.as_mut()) else {
             return;
         };
-        let Some(held) = trunk.incoming.remove(&call) else { return };
-        let unanswered = trunk.arriving.remove(&held.token);
-        if let Some(timer) = held.deadline_timer {
+        let Some(incoming) = trunk.incoming.remove(&call) else { return };
+        let unanswered = trunk.unanswered_requests.remove(&incoming.token);
+        if let Some(timer) = incoming.deadline_timer {
             self.wheel.cancel(timer);
         }
-        if self.incoming_sessions.get(&held.session) == Some(&(peer, call)) {
-            self.incoming_sessions.remove(&held.session);
+        if self.incoming_sessions.get(&incoming.session) == Some(&(peer, call)) {
+            self.incoming_sessions.remove(&incoming.session);
         }
         if let Some((conn, bytes)) = unanswered {
-            // It ended before it was accepted: its request is owed an answer even so.
+            // It ended before it was accepted: its request still needs an answer.
             if let Ok(request) = MessageRef::parse(&bytes) {
                 let answer = MessageBuilder::answer(&request, code::UNABLE_TO_COMPLY);
                 let answer = self.local.sign(answer).build();
-                self.answer_set_up(conn, held.deadline, answer);
+                self.send_final_answer(conn, incoming.deadline, answer);
             }
         }
-        if let (true, Some(client)) = (tell, held.client) {
+        if let (true, Some(client)) = (notify, incoming.client) {
             let host = self.host(client);
-            self.tell_cut(client, &host, &held.session);
+            self.send_abort(client, &host, &incoming.session);
         }
     }
 
-    /// All calls of servers toward a client that is gone are released.
-    pub(super) fn incoming_of_client_over(&mut self, client: PeerId) {
+    /// Releases all calls of servers toward a client that is gone.
+    pub(super) fn end_incoming_calls_of_client(&mut self, client: PeerId) {
         let mut sessions: Vec<Arc<str>> = Vec::new();
         for trunk in self.peers.iter().filter_map(|slot| slot.trunk.as_ref()) {
-            let held = trunk.incoming.values().filter(|held| held.client == Some(client));
-            sessions.extend(held.map(|held| held.session.clone()));
+            let incoming = trunk.incoming.values().filter(|incoming| incoming.client == Some(client));
+            sessions.extend(incoming.map(|incoming| incoming.session.clone()));
         }
         sessions.sort();
         for session in sessions {
-            self.incoming_released(&session);
+            self.release_incoming_call(&session);
         }
     }
 }
--- a/crates/lemoncleat-node/src/plan.rs
+++ b/crates/lemoncleat-node/src/plan.rs
@@ -1,40 +1,41 @@
-//! The numbering plan: the longest prefix of the number called tells class and pool of first choice.
+//! The numbering plan: the longest matching prefix of the called number determines the class and the pool of
+//! first choice.
 
 use std::fmt;
 
-/// What a prefix stands for.
+/// The route of a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Index of the class of call.
+    /// Index of the call's class.
     pub class: usize,
     /// Place (pool) of first choice.
     pub place: i64,
 }
 
-/// A prefix that can't be added.
+/// The reason why a prefix can't be added.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// It holds something other than digits, `*` and `#`.
-    Digit(char),
-    /// It stands in the plan already.
-    Twice,
+    /// It contains a character other than digits, `*` and `#`.
+    InvalidDigit(char),
+    /// It is already in the plan.
+    Duplicate,
 }
 
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PlanError::Digit(c) => write!(f, "{c:?} is no digit, expected 0 to 9, * or #"),
-            PlanError::Twice => write!(f, "the prefix stands in the plan twice"),
+            PlanError::InvalidDigit(c) => write!(f, "{c:?} is no digit, expected 0 to 9, * or #"),
+            PlanError::Duplicate => write!(f, "the prefix is in the plan twice"),
         }
     }
 }
 
 impl std::error::Error for PlanError {}
 
-const SYMBOLS: usize = 12;
-const NONE: u32 = u32::MAX;
+const ALPHABET_SIZE: usize = 12;
+const NO_CHILD: u32 = u32::MAX;
 
-fn symbol(byte: u8) -> Option<usize> {
+fn symbol_index(byte: u8) -> Option<usize> {
     match byte {
         b'0'..=b'9' => Some(usize::from(byte - b'0')),
         b'*' => Some(10),
@@ -44,83 +45,83 @@
 }
 
 #[derive(Clone, Debug)]
-struct Branch {
-    children: [u32; SYMBOLS],
+struct TrieNode {
+    children: [u32; ALPHABET_SIZE],
     route: Option<Route>,
 }
 
-impl Branch {
-    const EMPTY: Branch = Branch { children: [NONE; SYMBOLS], route: None };
+impl TrieNode {
+    const EMPTY: TrieNode = TrieNode { children: [NO_CHILD; ALPHABET_SIZE], route: None };
 }
 
-/// A trie of digits.
+/// A numbering plan, stored as a trie of digits.
 #[derive(Clone, Debug)]
 pub struct NumberingPlan {
-    branches: Vec<Branch>,
+    nodes: Vec<TrieNode>,
     len: usize,
 }
 
 impl Default for NumberingPlan {
     fn default() -> Self {
-        NumberingPlan { branches: vec![Branch::EMPTY], len: 0 }
+        NumberingPlan { nodes: vec![TrieNode::EMPTY], len: 0 }
     }
 }
 
 impl NumberingPlan {
-    /// A plan without prefixes.
+    /// Creates a plan without prefixes.
     pub fn new() -> Self {
         NumberingPlan::default()
     }
 
-    /// Adds a prefix; the empty one is the route of all numbers that no other prefix fits.
+    /// Adds a prefix. The empty prefix is the route of all numbers that match no other prefix.
     ///
     /// # Errors
     ///
-    /// When the prefix holds something other than digits or is there already.
+    /// If the prefix contains a character other than digits, `*` and `#`, or is already in the plan.
     pub fn add(&mut self, prefix: &str, route: Route) -> Result<(), PlanError> {
-        if let Some(odd) = prefix.chars().find(|c| !c.is_ascii() || symbol(*c as u8).is_none()) {
-            return Err(PlanError::Digit(odd));
+        if let Some(invalid) = prefix.chars().find(|c| !c.is_ascii() || symbol_index(*c as u8).is_none()) {
+            return Err(PlanError::InvalidDigit(invalid));
         }
-        let mut at = 0;
-        for digit in prefix.bytes().filter_map(symbol) {
-            let child = self.branches[at].children[digit];
-            at = if child == NONE {
-                self.branches.push(Branch::EMPTY);
-                let new = self.branches.len() - 1;
-                self.branches[at].children[digit] = new as u32;
+        let mut index = 0;
+        for digit in prefix.bytes().filter_map(symbol_index) {
+            let child = self.nodes[index].children[digit];
+            index = if child == NO_CHILD {
+                self.nodes.push(TrieNode::EMPTY);
+                let new = self.nodes.len() - 1;
+                self.nodes[index].children[digit] = new as u32;
                 new
             } else {
                 child as usize
             };
         }
-        if self.branches[at].route.is_some() {
-            return Err(PlanError::Twice);
+        if self.nodes[index].route.is_some() {
+            return Err(PlanError::Duplicate);
         }
-        self.branches[at].route = Some(route);
+        self.nodes[index].route = Some(route);
         self.len += 1;
         Ok(())
     }
 
-    /// The route of the longest prefix that fits. A leading `+` is passed over, and whatever stands after
-    /// the first character that is no digit.
+    /// Returns the route of the longest matching prefix. A leading `+` is ignored, and so is everything from
+    /// the first character that is not a digit.
     pub fn find(&self, number: &str) -> Option<Route> {
         let number = number.strip_prefix('+').unwrap_or(number);
-        let mut branch = &self.branches[0];
-        let mut best = branch.route;
-        for digit in number.bytes().map_while(symbol) {
-            let Some(next) = self.branches.get(branch.children[digit] as usize) else { break };
-            branch = next;
-            best = branch.route.or(best);
+        let mut node = &self.nodes[0];
+        let mut best = node.route;
+        for digit in number.bytes().map_while(symbol_index) {
+            let Some(next) = self.nodes.get(node.children[digit] as usize) else { break };
+            node = next;
+            best = node.route.or(best);
         }
         best
     }
 
-    /// How many prefixes it holds.
+    /// The number of prefixes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether it holds none.
+    /// Whether the plan has no prefixes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -136,7 +137,7 @@
     }
 
     #[test]
-    fn the_longest_prefix_wins_and_the_empty_one_catches_the_rest() {
+    fn find_returns_the_longest_matching_prefix() {
         let mut plan = NumberingPlan::new();
         plan.add("351", route(1)).expect("digits");
         plan.add("35121", route(2)).expect("digits");
@@ -151,18 +152,18 @@
     }
 
     #[test]
-    fn odd_and_repeated_prefixes_are_refused() {
+    fn add_refuses_invalid_and_duplicate_prefixes() {
         let mut plan = NumberingPlan::new();
-        assert_eq!(plan.add("12a", route(1)), Err(PlanError::Digit('a')));
+        assert_eq!(plan.add("12a", route(1)), Err(PlanError::InvalidDigit('a')));
         assert_eq!(plan.add("12", route(1)), Ok(()));
-        assert_eq!(plan.add("12", route(2)), Err(PlanError::Twice));
+        assert_eq!(plan.add("12", route(2)), Err(PlanError::Duplicate));
     }
 
     proptest! {
         #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(200) })]
 
         #[test]
-        fn it_finds_what_a_list_finds(
+        fn find_agrees_with_a_linear_search(
             prefixes in proptest::collection::btree_set("[0-3]{0,5}", 0..30),
             number in "[0-3]{0,8}",
         ) {
--- a/crates/lemoncleat-node/src/rebuild/tests.rs
+++ b/crates/lemoncleat-node/src/rebuild/tests.rs
@@ -43,11 +43,11 @@
 }
 
 fn of(controller: &Controller, name: &str) -> Value {
-    field(&mut state(controller).expect("known"), name).expect("there").clone()
+    field(&mut serialized_fields(controller).expect("known"), name).expect("there").clone()
 }
 
-fn change<'a>(from: &'a [Arc<str>], to: &'a [Arc<str>], settings: &'a Settings) -> Change<'a> {
-    Change { from, to, settings, queued: &[] }
+fn change<'a>(from: &'a [Arc<str>], to: &'a [Arc<str>], settings: &'a Settings) -> SettingsChange<'a> {
+    SettingsChange { from, to, settings, queued: &[] }
 }
 
 /// A module and what it was told, under a clock and draws of its own.
@@ -181,7 +181,7 @@
             if turn % 7 == 0 {
                 let rebuilt = rebuild(&changed.controller, &change(&abc(), &abc(), &settings()));
                 let rebuilt = rebuilt.expect("the same settings");
-                assert_eq!((rebuilt.names, rebuilt.until), (abc(), None));
+                assert_eq!((rebuilt.names, rebuilt.pending_until), (abc(), None));
                 changed.controller = rebuilt.controller;
                 assert_eq!(bytes(&plain.controller), bytes(&changed.controller), "seed {seed}, turn {turn}");
             }
@@ -202,7 +202,7 @@
     let new = Settings { classes: [2, 1, 0].map(|at| old.classes[at].clone()).to_vec(), ..settings() };
     let rebuilt = rebuild(&played.controller, &change(&abc(), &names(&["c", "b", "a"]), &new));
     let rebuilt = rebuilt.expect("good settings");
-    assert_eq!(rebuilt.indexes, [Some(2), Some(1), Some(0)]);
+    assert_eq!(rebuilt.new_indexes, [Some(2), Some(1), Some(0)]);
     let moved = of(&rebuilt.controller, "usual").into_array().expect("a list");
     assert_eq!(moved, [2, 1, 0].map(|at| learned[at].clone()));
     assert_eq!(of(&rebuilt.controller, "waiting"), of(&played.controller, "waiting"), "worths are the same");
@@ -265,8 +265,8 @@
     let to = names(&["a", "c"]);
     let rebuilt = rebuild(&played.controller, &change(&abc(), &to, &new)).expect("good");
     assert_eq!(rebuilt.names, names(&["a", "c", "b"]));
-    assert_eq!(rebuilt.indexes, [Some(0), Some(2), Some(1)]);
-    assert_eq!(rebuilt.until, Some(8_000 * MS), "the end of its caller's patience");
+    assert_eq!(rebuilt.new_indexes, [Some(0), Some(2), Some(1)]);
+    assert_eq!(rebuilt.pending_until, Some(8_000 * MS), "the end of its caller's patience");
     let fresh = Controller::new(new.clone(), 0).expect("good");
     for name in ["longest", "pressed", "cheapest"] {
         assert_eq!(of(&rebuilt.controller, name), of(&fresh, name), "{name}");
@@ -276,15 +276,15 @@
     assert_eq!(bytes(&again.controller), bytes(&played.controller), "it is still pending");
     played.event(Event::CallerGone(CallId(call)));
     let over = rebuild(&played.controller, &change(&names(&["a", "c", "b"]), &to, &new)).expect("good");
-    assert_eq!((over.names, over.until), (to, None));
+    assert_eq!((over.names, over.pending_until), (to, None));
     assert_eq!(of(&over.controller, "settings"), of(&fresh, "settings"));
     // Without a call it goes at once.
     let empty = Played::new(4).controller;
     let gone = rebuild(&empty, &change(&abc(), &names(&["a", "c"]), &new)).expect("good");
-    assert_eq!((gone.names, gone.until), (names(&["a", "c"]), None));
+    assert_eq!((gone.names, gone.pending_until), (names(&["a", "c"]), None));
     let (from, to) = (abc(), names(&["a", "c"]));
-    let kept = rebuild(&empty, &Change { queued: &[1], ..change(&from, &to, &new) }).expect("good");
-    assert!(kept.names.len() == 3 && kept.until.is_some(), "a call of it is yet to be heard of");
+    let kept = rebuild(&empty, &SettingsChange { queued: &[1], ..change(&from, &to, &new) }).expect("good");
+    assert!(kept.names.len() == 3 && kept.pending_until.is_some(), "a call of it is yet to be heard of");
 }
 
 #[test]
--- a/crates/lemoncleat-node/src/servers.rs
+++ b/crates/lemoncleat-node/src/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that the list has named, and which peer each one is.
+//! The servers that the list has named, with the peer of each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,15 +10,15 @@
 use crate::node::PeerId;
 use crate::Micros;
 
-/// A server that the list named once.
+/// A server that the list has named at least once.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub peer: PeerId,
     pub host: Arc<str>,
     pub address: SocketAddr,
-    /// As the list has it.
+    /// The availability given by the list.
     pub listed: Availability,
-    /// It asked to end its connection, and has not come back since.
+    /// Whether the server asked to end its connection and has not reconnected since.
     pub leaving: bool,
     pub started_at: Option<Micros>,
     place: i64,
@@ -27,7 +27,8 @@
 }
 
 impl Server {
-    /// How the module is told of it: draining as soon as the list or the server itself says so.
+    /// Returns the server as it is reported to the module: draining as soon as either the list or the server
+    /// itself says so.
     pub fn member(&self, id: ServerId) -> Member {
         let availability = match self.listed {
             Availability::Ready if self.leaving => Availability::Draining,
@@ -44,7 +45,7 @@
     }
 }
 
-/// All servers, by the number that the module knows them by.
+/// All servers, indexed by the number that identifies them to the module.
 #[derive(Debug, Default)]
 pub(crate) struct Servers {
     all: Vec<Server>,
@@ -53,10 +54,10 @@
     kinds: HashMap<Arc<str>, u32>,
 }
 
-/// The number of a name, given out in order of first use.
-fn number(names: &mut HashMap<Arc<str>, u32>, name: &Arc<str>) -> u32 {
-    let next = names.len() as u32;
-    *names.entry(name.clone()).or_insert(next)
+/// Returns the number of a name. Numbers are assigned in order of first use.
+fn intern(names: &mut HashMap<Arc<str>, u32>, name: &Arc<str>) -> u32 {
+    let next_number = names.len() as u32;
+    *names.entry(name.clone()).or_insert(next_number)
 }
 
 impl Servers {
@@ -73,7 +74,7 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (ServerId, &Server)> {
-        self.all.iter().enumerate().map(|(at, server)| (ServerId(at as u32), server))
+        self.all.iter().enumerate().map(|(index, server)| (ServerId(index as u32), server))
     }
 
     /// The number that the next new server gets.
@@ -81,9 +82,9 @@
         ServerId(self.all.len() as u32)
     }
 
-    /// Takes a line of the list; `peer` is the server's.
-    pub fn put(&mut self, now: Micros, entry: &ListEntry, peer: PeerId) -> ServerId {
-        let (zone, kind) = (number(&mut self.zones, &entry.zone), number(&mut self.kinds, &entry.kind));
+    /// Applies an entry of the list; `peer` is the server's peer.
+    pub fn update(&mut self, now: Micros, entry: &ListEntry, peer: PeerId) -> ServerId {
+        let (zone, kind) = (intern(&mut self.zones, &entry.zone), intern(&mut self.kinds, &entry.kind));
         let id = match self.by_host.get(&entry.host) {
             Some(id) => *id,
             None => {
@@ -107,17 +108,21 @@
         server.address = entry.address;
         server.listed = entry.availability;
         (server.place, server.zone, server.kind) = (entry.place, zone, kind);
-        // The list's clock and delay are not the node's: a start that is told again shifts a little, and
-        // one that the node saw itself is later than what an old line tells.
-        let told = entry.started_ago.map(|ago| now - ago);
-        server.started_at = match (server.started_at, told) {
-            (Some(known), Some(told)) if (told - known).abs() < SAME_START || told < known => Some(known),
+        // The list's clock and its delay differ from the node's. A start time reported again therefore shifts
+        // slightly, and a restart that the node saw itself is later than the time in an outdated entry.
+        let reported = entry.started_ago.map(|ago| now - ago);
+        server.started_at = match (server.started_at, reported) {
+            (Some(known), Some(reported))
+                if (reported - known).abs() < SAME_START_TOLERANCE_US || reported < known =>
+            {
+                Some(known)
+            }
             (known, None) => known,
-            (_, told) => told,
+            (_, reported) => reported,
         };
         id
     }
 }
 
-/// Two moments nearer than this are one start, told twice.
-const SAME_START: Micros = 2_000_000;
+/// Start times closer together than this count as the same start.
+const SAME_START_TOLERANCE_US: Micros = 2_000_000;
--- a/crates/lemoncleat-node/src/settings.rs
+++ b/crates/lemoncleat-node/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! The settings of a node.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -10,31 +10,32 @@
 
 use crate::{Micros, NumberingPlan};
 
-/// Spans of time.
+/// Timeouts and other time spans.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timing {
-    /// Tw of RFC 3539.
+    /// The watchdog interval, Tw of RFC 3539.
     pub watchdog: Micros,
-    /// Waits between dials of a server.
+    /// Waits between attempts to dial a server.
     pub backoff: Backoff,
-    /// How long a connection may take to open, and a new one to show its CER.
+    /// How long a connection may take to open, and a new inbound one to send its CER.
     pub open: Micros,
-    /// How long a peer may take to close after DPR.
+    /// How long a peer may take to close the connection after DPR.
     pub close: Micros,
-    /// A loop without a turn for longer than this has been away: see [`Input::Away`](crate::Input::Away).
+    /// A pause between two turns of the event loop that is longer than this is reported as a gap: see
+    /// [`Input::Away`](crate::Input::Away).
     pub gap: Micros,
-    /// How much earlier than the caller the node stops waiting, so that its answer arrives in time.
+    /// How long before the caller's deadline the node stops waiting, so that its answer arrives in time.
     pub answer_margin: Micros,
-    /// How long a client that lost its connection may take to come back before its calls are given up.
-    /// Meanwhile no attempt begins for them.
+    /// How long a client that lost its connection may take to reconnect before its calls are given up. No
+    /// attempt begins for them in the meantime.
     pub client_return: Micros,
-    /// How long a server that lost its connection may take to come back before its calls count as cut.
+    /// How long a server that lost its connection may take to reconnect before its calls count as cut.
     pub server_return: Micros,
-    /// How long answers are kept for requests that come again.
+    /// How long answers are kept for repeated requests.
     pub duplicates: Micros,
-    /// How long an abandoned set-up's answer is still recognised.
+    /// How long the answer to an abandoned set-up is still recognised.
     pub late_answers: Micros,
-    /// How long standing calls may go on after the node was told to stop.
+    /// How long standing calls may continue after the node was told to stop.
     pub drain: Micros,
 }
 
@@ -59,13 +60,13 @@
 /// The trunk groups toward servers; each server has one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CircuitSettings {
-    /// Circuits of a group.
+    /// The number of circuits in a group.
     pub size: u32,
-    /// Which idle circuit is seized next.
+    /// The order in which idle circuits are seized.
     pub order: Order,
-    /// Waits for replies.
+    /// Timeouts for replies.
     pub timers: Timers,
-    /// Audits; `None` for none.
+    /// Audit settings; `None` disables audits.
     pub audits: Option<Audits>,
 }
 
@@ -74,50 +75,51 @@
 pub struct MemberPeer {
     /// Its Origin-Host.
     pub host: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
-/// What a node is told at its start.
+/// The settings of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Origin-Host.
     pub host: Arc<str>,
-    /// Origin-Realm, and the realm that it serves.
+    /// Origin-Realm, which is also the realm that the node serves.
     pub realm: Arc<str>,
-    /// Host-IP-Addresses.
+    /// Values of Host-IP-Address.
     pub addresses: Vec<IpAddr>,
     /// Origin-Hosts of the clients that may connect.
     pub clients: Vec<Arc<str>>,
-    /// The nodes of the fleet; none for a node on its own. The node itself may stand among them and is passed
-    /// over, so that all nodes can be given one list and one numbering.
+    /// The nodes of the fleet; empty for a node on its own. The list may include this node, which is skipped,
+    /// so that all nodes can share one list and one numbering.
     pub members: Vec<MemberPeer>,
-    /// What the decision module is told.
+    /// The settings of the decision module.
     pub module: Settings,
-    /// The names of its classes, by index: by them calls keep their class when settings change in place.
+    /// The names of the module's classes, by index. They let calls keep their class when settings change in
+    /// place.
     pub class_names: Vec<Arc<str>>,
-    /// Class and pool of first choice by number.
+    /// Maps numbers to the class and the pool of first choice.
     pub plan: NumberingPlan,
-    /// Spans of time.
+    /// Timeouts and other time spans.
     pub timing: Timing,
-    /// Longest message taken, in bytes.
+    /// Longest message accepted, in bytes.
     pub max_message: usize,
-    /// Most connections at once.
+    /// Maximum number of simultaneous connections.
     pub max_connections: usize,
-    /// Most calls at once, standing or being set up.
+    /// Maximum number of simultaneous calls, standing or being set up.
     pub max_calls: usize,
-    /// Most bytes that wait to be written to one peer.
+    /// Maximum number of bytes queued for writing to one peer.
     pub max_queue: usize,
-    /// Most requests remembered for their repeats.
+    /// Maximum number of requests remembered to detect repeats.
     pub max_duplicates: usize,
-    /// Trunk groups; without them a server's lines are its own matter.
+    /// Trunk groups. Without them the node does not track a server's lines.
     pub circuits: Option<CircuitSettings>,
-    /// Steps of each call are told as notices.
+    /// Whether the steps of each call are reported as notices.
     pub trace_calls: bool,
 }
 
 impl NodeSettings {
-    /// Settings with defaults for all that has one; classes are named by their index.
+    /// Creates settings with default values where these exist; classes are named by their index.
     pub fn new(host: &str, realm: &str, module: Settings, plan: NumberingPlan) -> Self {
         NodeSettings {
             host: host.into(),
--- a/crates/lemoncleat-node/src/translate.rs
+++ b/crates/lemoncleat-node/src/translate.rs
@@ -1,10 +1,10 @@
-//! Between Diameter's words and the module's. Tables only; nothing is chosen here.
+//! Translation between Diameter and the decision module: mappings only, no decisions.
 
 use lemoncleat::{Outcome, Reason, Report};
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{result_code as code, MessageRef};
 
-/// What an answer of a server that is no success means for the attempt.
+/// Maps an unsuccessful answer of a server to the outcome of the attempt.
 pub(crate) fn outcome(answer: &MessageRef<'_>) -> (Outcome, Reason) {
     let reason = match answer.number(d::SETUP_REASON) {
         Some(d::REASON_NO_CIRCUIT) => Reason::NoCircuit,
@@ -23,16 +23,20 @@
     }
 }
 
-/// Whether an answer to a set-up can be read to its end and is the answer of the call of this session: what
-/// the node knows it by, the Hop-by-Hop Identifier, tells neither. A refusal may lack the session.
+/// Returns whether an answer to a set-up can be parsed completely and belongs to the call of this session.
+/// The Hop-by-Hop Identifier, by which the node matches it, guarantees neither. A refusal may lack the
+/// Session-Id.
 pub(crate) fn is_answer_for(answer: &MessageRef<'_>, session: &str) -> bool {
     answer.header.command == d::CMD_AA
         && answer.avps().all(|avp| avp.is_ok())
-        && answer.text(d::SESSION_ID).map_or(answer.result_code() != code::SUCCESS, |named| named == session)
+        && answer
+            .text(d::SESSION_ID)
+            .map_or(answer.result_code() != code::SUCCESS, |answer_session| answer_session == session)
 }
 
-/// The load that an answer tells: the project's own AVPs, and where they lack a figure the Load report of
-/// the host (RFC 8583: the larger the value of 65,535 the less the load) and the overload report (RFC 7683).
+/// Reads the load reported by an answer: from the project's own AVPs and, where these lack a value, from the
+/// Load report of the host (RFC 8583, where a larger value, up to 65,535, means less load) and the overload
+/// report (RFC 7683).
 pub(crate) fn report(answer: &MessageRef<'_>) -> Option<Report> {
     let mut report = Report::default();
     let mut any = false;
@@ -60,7 +64,7 @@
     any.then_some(report)
 }
 
-/// Whether an AVP of a server's answer is meant for the node alone and is not passed on to the client.
+/// Returns whether an AVP of a server's answer is meant for the node only and is not passed on to the client.
 pub(crate) fn is_for_the_node(avp_code: u32, vendor: Option<u32>) -> bool {
     vendor == Some(d::VENDOR) || vendor.is_none() && matches!(avp_code, 650 | 621 | 623)
 }
--- a/crates/lemoncleat-node/tests/calls.rs
+++ b/crates/lemoncleat-node/tests/calls.rs
@@ -650,7 +650,7 @@
     let more = bench.conn();
     bench.input(Input::Accepted(more));
     assert!(bench.closed.contains(&more));
-    assert!(bench.notices.contains(&Notice::ConnectionsFull(more)));
+    assert!(bench.notices.contains(&Notice::ConnectionLimitReached(more)));
 }
 
 #[test]
--- a/crates/lemoncleat-node/tests/configure.rs
+++ b/crates/lemoncleat-node/tests/configure.rs
@@ -194,7 +194,7 @@
     let answers: Vec<_> =
         bench.answer_watchdogs(client).into_iter().filter(|got| got.name() == "AAA").collect();
     assert_eq!(answers.len(), 1, "exactly one final answer");
-    assert!(!bench.notices.iter().any(|notice| matches!(notice, Notice::Withheld { .. })));
+    assert!(!bench.notices.iter().any(|notice| matches!(notice, Notice::AnswerWithheld { .. })));
 }
 
 #[test]
--- a/crates/lemoncleat-node/tests/gaps.rs
+++ b/crates/lemoncleat-node/tests/gaps.rs
@@ -39,7 +39,7 @@
     assert_eq!(bench.one(server, "STR").session(), "s;1");
     let stats = bench.node.stats();
     assert_eq!((stats.late, stats.withheld, stats.standing, stats.setting_up), (1, 1, 0, 0));
-    let noticed = |notice: &Notice| matches!(notice, Notice::Withheld { result: code::SUCCESS, .. });
+    let noticed = |notice: &Notice| matches!(notice, Notice::AnswerWithheld { result: code::SUCCESS, .. });
     assert_eq!(bench.notices.iter().filter(|notice| noticed(notice)).count(), 1);
 }
 
@@ -282,7 +282,7 @@
     }
     let stats = bench.node.stats();
     assert_eq!((stats.calls, stats.withheld, stats.repeats), (0, 1, 2));
-    assert!(bench.notices.iter().any(|n| matches!(n, Notice::Away { set_ups: 2, withheld: 1, .. })));
+    assert!(bench.notices.iter().any(|n| matches!(n, Notice::LoopGap { set_ups: 2, withheld: 1, .. })));
     // The session is free for another call.
     bench.bytes(client, &aar("front.example", "s;1", 4, 4, false));
     assert_eq!(names(&calls_only(bench.take(server))), ["AAR"]);
--- a/crates/lemoncleat-node/tests/members.rs
+++ b/crates/lemoncleat-node/tests/members.rs
@@ -9,7 +9,7 @@
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{result_code as code, MessageBuilder};
 use lemoncleat_node::{
-    ConnId, Input, MemberPeer, Micros, Node, NodeSettings, Notice, Output, PeerId, WORD_MOST,
+    ConnId, Input, MemberPeer, Micros, Node, NodeSettings, Notice, Output, PeerId, MAX_WORD_BYTES,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -85,7 +85,7 @@
     let call = common::aar(OTHER, "s;1", 9, 9, false);
     bench.bytes(conn, &call);
     assert_eq!(bench.one(conn, "AAA").result(), code::COMMAND_UNSUPPORTED);
-    bench.bytes(conn, &fwr(OTHER, 10, &vec![0; WORD_MOST + 1]));
+    bench.bytes(conn, &fwr(OTHER, 10, &vec![0; MAX_WORD_BYTES + 1]));
     assert_eq!(bench.one(conn, "FWA").result(), code::INVALID_AVP_LENGTH);
     let empty = MessageBuilder::request(d::CMD_FLEET, d::APP_NAS, false, 11, 11)
         .add_str(d::ORIGIN_HOST, OTHER)
@@ -99,8 +99,8 @@
 #[test]
 fn words_that_do_not_fit_are_dropped_and_counted_and_close_nothing() {
     let (mut bench, conn) = linked();
-    bench.input(Input::Word(1, &vec![0; WORD_MOST + 1]));
-    assert!(bench.notices.contains(&Notice::WordTooLong(OTHER.into(), WORD_MOST + 1)));
+    bench.input(Input::Word(1, &vec![0; MAX_WORD_BYTES + 1]));
+    assert!(bench.notices.contains(&Notice::WordTooLong(OTHER.into(), MAX_WORD_BYTES + 1)));
     for nobody in [0, 2, usize::MAX] {
         bench.input(Input::Word(nobody, b"x"));
         bench.input(Input::Meet(nobody));
@@ -110,7 +110,7 @@
     // The member reads nothing: what waits for it stays below the limit.
     bench.writes = false;
     for _ in 0..100 {
-        bench.input(Input::Word(1, &[0; WORD_MOST]));
+        bench.input(Input::Word(1, &[0; MAX_WORD_BYTES]));
     }
     let stats = bench.node.stats();
     assert_eq!((stats.words_sent, stats.words_sent + stats.words_dropped), (31, 104));
--- a/crates/lemoncleat-node/tests/peers.rs
+++ b/crates/lemoncleat-node/tests/peers.rs
@@ -65,7 +65,7 @@
         assert!(bench
             .notices
             .iter()
-            .any(|notice| matches!(notice, Notice::Garbled(conn, _) if *conn == bad)));
+            .any(|notice| matches!(notice, Notice::MalformedStream(conn, _) if *conn == bad)));
         bench.call(good, "s;1");
         let attempt = bench.one(server, "AAR");
         bench.answer(server, &attempt, code::SUCCESS);
--- a/crates/lemoncleat-node/tests/trunks.rs
+++ b/crates/lemoncleat-node/tests/trunks.rs
@@ -297,7 +297,7 @@
     assert_eq!(resets, 1);
     assert!(states(&bench).is_empty());
     assert_eq!(bench.names(client).iter().filter(|name| **name == "ASR").count(), 1);
-    assert!(bench.notices.iter().any(|notice| matches!(notice, Notice::CircuitMended(_, 0, _))));
+    assert!(bench.notices.iter().any(|notice| matches!(notice, Notice::CircuitCorrected(_, 0, _))));
 }
 
 #[test]
