--- a/crates/lemoncleat-node/benches/node.rs
+++ b/crates/lemoncleat-node/benches/node.rs
@@ -1,5 +1,5 @@
-//! The core without sockets: what a whole call costs (request, attempt, answer, release), by calls standing and
-//! by servers, and what a standing call takes in memory.
+//! Measures the core without sockets: the cost of a whole call (request, attempt, answer, release), by
+//! standing calls and by servers, and the memory of a standing call.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -47,7 +47,7 @@
         }
         let mut settings = NodeSettings::new("node.bench", "bench", module, plan);
         settings.clients = vec!["client.bench".into()];
-        // Short, so that memory is that of standing calls and not of answers kept for repeats.
+        // Short, so that the memory measured is that of standing calls, not of answers kept for repeats.
         settings.timing.duplicates = 1_000;
         settings.timing.watchdog = 3_600_000_000;
         let node = Node::new(settings, 1, 1).unwrap_or_else(|error| panic!("{error}"));
@@ -86,7 +86,7 @@
         self.node.handle(self.now, input, &mut self.out);
     }
 
-    /// The last message sent on a connection.
+    /// Returns the last message sent on a connection.
     fn sent(&mut self, conn: ConnId) -> Vec<u8> {
         let mut found = Vec::new();
         for output in self.out.drain(..) {
@@ -113,7 +113,7 @@
             .build()
     }
 
-    /// One call that comes to stand; whether it did.
+    /// Sets up one call; returns whether it was established.
     fn set_up(&mut self, id: u32) -> bool {
         self.now += 1_200;
         let request = self.request(id);
@@ -168,8 +168,8 @@
         }
     }
 
-    /// The longest single turn, in microseconds, of those that a backlog takes: releases of calls that stand, and
-    /// as many new set-ups, that came while the node had no turn.
+    /// Processes a backlog of releases of standing calls and as many new set-ups that arrived during a gap.
+    /// Returns the longest turn and the total, in microseconds.
     fn backlog(&mut self, calls: u32) -> (f64, f64) {
         self.fill(calls as usize);
         let (last, since) = (self.next, self.now);
@@ -199,7 +199,7 @@
         (longest, all)
     }
 
-    /// Lets calls stand until there are so many.
+    /// Establishes calls until this many stand.
     fn fill(&mut self, standing: usize) {
         while self.node.stats().standing < standing {
             self.next += 1;
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Microseconds for a whole call: the least of five runs.
+    /// Returns the time of a whole call in microseconds, the shortest of five runs.
     fn cost(&mut self, rounds: usize) -> f64 {
         let mut least = f64::INFINITY;
         for _ in 0..5 {
@@ -228,51 +228,52 @@
     }
 }
 
-/// Resident memory of this process in bytes, as Linux tells it.
+/// Returns the resident memory of this process in bytes, as reported by Linux.
 fn resident() -> Option<usize> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     Some(text.split(' ').nth(1)?.parse::<usize>().ok()? * 4096)
 }
 
 fn main() {
-    // Memory first, before the allocator holds anything to use again.
+    // Memory is measured first, before the allocator holds freed blocks that it could reuse.
     let mut bench = Bench::new(4);
     bench.fill(1_000);
     let before = resident();
-    let grown = 100_000;
-    bench.fill(1_000 + grown);
+    let added = 100_000;
+    bench.fill(1_000 + added);
     if let (Some(before), Some(after)) = (before, resident()) {
         println!(
-            "memory: {} bytes a standing call ({grown} of them)",
-            (after.saturating_sub(before)) / grown
+            "memory: {} bytes a standing call ({added} of them)",
+            (after.saturating_sub(before)) / added
         );
     }
     drop(bench);
 
-    let mut first = None;
+    let mut baseline = None;
     for standing in [10, 100, 1_000, 10_000] {
         let mut bench = Bench::new(4);
         bench.fill(standing);
         let cost = bench.cost(20_000);
-        let ratio = cost / *first.get_or_insert(cost);
+        let ratio = cost / *baseline.get_or_insert(cost);
         println!("{standing:>6} standing, 4 servers: {cost:.2} us a call, ratio {ratio:.2}");
     }
-    let mut first = None;
+    let mut baseline = None;
     for servers in [2, 8, 32, 128, 256] {
         let mut bench = Bench::new(servers);
         let cost = bench.cost(if servers > 32 { 1_000 } else { 10_000 });
-        let ratio = cost / *first.get_or_insert(cost);
+        let ratio = cost / *baseline.get_or_insert(cost);
         println!("{servers:>6} servers: {cost:.2} us a call, ratio {ratio:.2}");
     }
     for servers in [4, 32] {
         let (longest, all) = Bench::new(servers).backlog(2_048);
         println!(
-            "backlog of 2,048 releases and 2,048 set-ups, {servers} servers: {:.1} ms in all, longest turn {:.2} ms",
+            "backlog of 2,048 releases and 2,048 set-ups, {servers} servers: {:.1} ms in all, \
+             longest turn {:.2} ms",
             all / 1e3,
             longest / 1e3
         );
     }
-    // The parts that are only reading and writing, for comparison.
+    // Reading and writing alone, for comparison.
     let frame =
         MessageBuilder::request(d::CMD_AA, d::APP_NAS, true, 1, 1).add_str(d::SESSION_ID, "x").build();
     let mut reader = FrameReader::new(1 << 16);
--- a/crates/lemoncleat-node/benches/size.rs
+++ b/crates/lemoncleat-node/benches/size.rs
@@ -1,11 +1,11 @@
-//! What a call costs by size: set-up (request to attempt, answer to answer) and release, through the node's core and
-//! through the module alone; by servers known, by services, by calls a second and by depth. The middle and the 99th
-//! of 100 of each single call, measured one by one. The calls come evenly; times are the thread's on a processor, and of the cores
-//! alone.
-//! The figures by depth are the sums of so many set-ups, worked out by convolution of the measured histogram.
+//! Measures the cost of a call by size: set-up (request to attempt, and answer to answer) and release,
+//! through the node's core and through the module alone, by number of servers, number of services, calls per
+//! second and depth. Each call is measured on its own; the median and the 99th percentile are reported. Calls
+//! arrive evenly; times are processor time of the thread, for the cores alone. The figures by depth are the
+//! distribution of the sum of that many set-ups, computed by convolution of the measured histogram.
 //!
-//! `cargo bench -p lemoncleat-node --bench size [-- servers services rate depth module]`
-//! writes `docs/capacity/slopes.json`; `CAPACITY_QUIET=yes` says that nothing else ran on the machine.
+//! `cargo bench -p lemoncleat-node --bench size [-- servers services rate depth module]` writes
+//! `docs/capacity/slopes.json`; `CAPACITY_QUIET=yes` states that nothing else ran on the machine.
 
 #[path = "../../lemoncleat-lab/src/capacity/record.rs"]
 mod record;
@@ -21,14 +21,21 @@
 use lemoncleat_node::{ConnId, Input, ListEntry, ListNews, Node, NodeSettings, NumberingPlan, Output, Route};
 use record::{record, Series, Spent};
 
-/// How long a call stands.
-const LENGTH: i64 = 8_000_000;
-/// The pause between calls at 44 calls a second.
-const CALM: i64 = 1_000_000 / 44;
+/// How long a call stands, in microseconds.
+const CALL_LENGTH_US: i64 = 8_000_000;
+/// The interval between calls at 44 calls per second, in microseconds.
+const CALM_INTERVAL_US: i64 = 1_000_000 / 44;
 
 fn class(pool: Option<i64>) -> Class {
     let allowed = pool.map(|pool| vec![pool]);
-    Class { aim: 1_500_000, deadline: 9_000_000, worth: 1.0, length: LENGTH, allowed, ..Class::default() }
+    Class {
+        aim: 1_500_000,
+        deadline: 9_000_000,
+        worth: 1.0,
+        length: CALL_LENGTH_US,
+        allowed,
+        ..Class::default()
+    }
 }
 
 fn module(classes: Vec<Class>) -> Settings {
@@ -42,7 +49,7 @@
     }
 }
 
-/// A node with so many servers of each of so many services, each a class and a pool of its own.
+/// A node with the given number of servers for each of the services; each service has its own class and pool.
 struct Bench {
     node: Node,
     now: i64,
@@ -116,7 +123,7 @@
         began.nanos()
     }
 
-    /// The last message sent on a connection.
+    /// Returns the last message sent on a connection.
     fn sent(&mut self, conn: ConnId) -> Vec<u8> {
         let mut found = Vec::new();
         for output in std::mem::take(&mut self.out) {
@@ -130,7 +137,7 @@
         found
     }
 
-    /// A call that comes to stand: nanoseconds of its set-up.
+    /// Establishes a call; returns the time of its set-up in nanoseconds.
     fn set_up(&mut self) -> u64 {
         self.next += 1;
         let (id, service) = (self.next, self.next as usize % self.services);
@@ -163,7 +170,7 @@
         first + second
     }
 
-    /// The oldest call ends: nanoseconds of that.
+    /// Releases the oldest call; returns the time in nanoseconds.
     fn release(&mut self) -> u64 {
         let Some(id) = self.standing.pop_front() else { return 0 };
         let request = MessageBuilder::request(d::CMD_SESSION_TERMINATION, d::APP_NAS, true, id, id)
@@ -189,13 +196,14 @@
 
 struct Cost {
     set_up: Histogram<u64>,
-    /// Microseconds of set-up, release and timers a call.
+    /// Time for set-up, release and timers per call, in microseconds.
     whole: f64,
 }
 
-/// Plays calls at a pace, each standing for its length, and measures so many.
-fn play(bench: &mut Bench, pause: i64, calls: usize) -> Cost {
-    let standing = (LENGTH / pause) as usize;
+/// Runs calls at a fixed interval, each standing for `CALL_LENGTH_US`, and measures this many once the number
+/// of standing calls is stable.
+fn run_calls(bench: &mut Bench, pause: i64, calls: usize) -> Cost {
+    let standing = (CALL_LENGTH_US / pause) as usize;
     let mut set_up = Histogram::<u64>::new(3).expect("a histogram");
     let mut whole = 0;
     for call in 0..standing + calls {
@@ -220,7 +228,7 @@
     Cost { set_up, whole: whole as f64 / calls as f64 / 1e3 }
 }
 
-/// Takes the actions, and keeps the timers among them by moment.
+/// Drains the actions and keeps the timers among them, ordered by time.
 fn keep_timers(
     now: i64,
     number: &mut u64,
@@ -235,8 +243,8 @@
     }
 }
 
-/// The module alone: nanoseconds of choosing and hearing the answer.
-fn play_module(servers: usize, calls: usize) -> Histogram<u64> {
+/// Measures the module alone: the time of choosing a server and processing the answer, in nanoseconds.
+fn run_module(servers: usize, calls: usize) -> Histogram<u64> {
     let mut module = Controller::new(module(vec![class(None)]), 1).expect("settings");
     let member = |at: usize| lemoncleat::Member {
         server: lemoncleat::ServerId(at as u32),
@@ -255,10 +263,10 @@
     );
     let mut histogram = Histogram::<u64>::new(3).expect("a histogram");
     let mut standing = VecDeque::new();
-    let keep = (LENGTH / CALM) as usize;
+    let keep = (CALL_LENGTH_US / CALM_INTERVAL_US) as usize;
     let mut number = 0_u64;
     for id in 0..(keep + calls) as u64 {
-        now += CALM;
+        now += CALM_INTERVAL_US;
         keep_timers(now, &mut number, &mut actions, &mut timers);
         while let Some(((at, _), token)) = timers.first_key_value().map(|(at, token)| (*at, *token)) {
             if at > now {
@@ -289,7 +297,7 @@
         if standing.len() > keep {
             let (call, server) = standing.pop_front().expect("one");
             let (outcome, reason, report) = (Outcome::Ok, Default::default(), Default::default());
-            let (attempt, lag, closed) = (0, LENGTH, true);
+            let (attempt, lag, closed) = (0, CALL_LENGTH_US, true);
             let ended = Event::Ended { call, attempt, server, outcome, lag, closed, reason, report };
             module.handle(now + 300, ended, &mut actions);
         }
@@ -297,21 +305,22 @@
     histogram
 }
 
-/// The quantile of the sum of so many independent draws from a histogram, in microseconds.
+/// Returns the quantile of the sum of independent draws from a histogram, in microseconds.
 fn sum_quantile(histogram: &Histogram<u64>, draws: usize, quantile: f64) -> f64 {
-    // Bins of a fortieth of the middle, and no more than the 99.99th of 100 seen: the mass beyond stands in the last.
+    // Bins of 1/40 of the median, up to the 99.99th percentile seen; the mass beyond it is counted in the
+    // last bin.
     let width = (histogram.value_at_quantile(0.5) as f64 / 40.0).max(1.0);
-    let most = ((histogram.value_at_quantile(0.9999) as f64 / width) as usize + 1).min(4_000);
-    let mut one = vec![0.0; most + 1];
+    let last_bin = ((histogram.value_at_quantile(0.9999) as f64 / width) as usize + 1).min(4_000);
+    let mut one = vec![0.0; last_bin + 1];
     for value in histogram.iter_recorded() {
-        let bin = ((value.value_iterated_to() as f64 / width).round() as usize).min(most);
+        let bin = ((value.value_iterated_to() as f64 / width).round() as usize).min(last_bin);
         one[bin] += value.count_at_value() as f64 / histogram.len() as f64;
     }
     let filled: Vec<(usize, f64)> =
         one.iter().copied().enumerate().filter(|(_, share)| *share > 0.0).collect();
     let mut sum = vec![1.0];
     for _ in 0..draws {
-        let mut next = vec![0.0; sum.len() + most];
+        let mut next = vec![0.0; sum.len() + last_bin];
         for (at, share) in sum.iter().enumerate().filter(|(_, share)| **share > 1e-12) {
             for (more, of) in &filled {
                 next[at + more] += share * of;
@@ -319,10 +328,10 @@
         }
         sum = next;
     }
-    let mut left = quantile;
+    let mut remaining = quantile;
     let bin = sum.iter().position(|share| {
-        left -= share;
-        left <= 0.0
+        remaining -= share;
+        remaining <= 0.0
     });
     bin.unwrap_or(sum.len()) as f64 * width / 1e3
 }
@@ -349,7 +358,7 @@
     if wanted("servers") {
         let (sizes, mut found) = ([64, 128, 256, 512, 1_024], BTreeMap::<&str, Vec<f64>>::new());
         for size in sizes {
-            let cost = play(&mut Bench::new(1, size), CALM, calls(size));
+            let cost = run_calls(&mut Bench::new(1, size), CALM_INTERVAL_US, calls(size));
             found.entry("p50").or_default().push(quantile(&cost.set_up, 0.5));
             found.entry("p99").or_default().push(quantile(&cost.set_up, 0.99));
             found.entry("whole").or_default().push(cost.whole);
@@ -359,7 +368,7 @@
     if wanted("module") {
         let (sizes, mut found) = ([64, 128, 256, 512, 1_024], BTreeMap::<&str, Vec<f64>>::new());
         for size in sizes {
-            let histogram = play_module(size, calls(size));
+            let histogram = run_module(size, calls(size));
             found.entry("p50").or_default().push(quantile(&histogram, 0.5));
             found.entry("p99").or_default().push(quantile(&histogram, 0.99));
         }
@@ -368,7 +377,7 @@
     if wanted("services") {
         let (sizes, mut found) = ([6, 12, 23, 46, 91], BTreeMap::<&str, Vec<f64>>::new());
         for size in sizes {
-            let cost = play(&mut Bench::new(size, 11), CALM, calls(size * 11));
+            let cost = run_calls(&mut Bench::new(size, 11), CALM_INTERVAL_US, calls(size * 11));
             found.entry("p50").or_default().push(quantile(&cost.set_up, 0.5));
             found.entry("p99").or_default().push(quantile(&cost.set_up, 0.99));
             found.entry("whole").or_default().push(cost.whole);
@@ -378,7 +387,7 @@
     if wanted("rate") {
         let (sizes, mut found) = ([80, 160, 320, 640, 1_280], BTreeMap::<&str, Vec<f64>>::new());
         for size in sizes {
-            let cost = play(&mut Bench::new(1, 11), 1_000_000 / size as i64, 10_000);
+            let cost = run_calls(&mut Bench::new(1, 11), 1_000_000 / size as i64, 10_000);
             found.entry("p50").or_default().push(quantile(&cost.set_up, 0.5));
             found.entry("p99").or_default().push(quantile(&cost.set_up, 0.99));
             found.entry("processor").or_default().push(cost.whole * size as f64);
@@ -388,7 +397,7 @@
     if wanted("depth") {
         let sizes = [2, 4, 8, 16, 29];
         for (servers, what) in [(11, "depth-11"), (60, "depth-60"), (1_000, "depth-1000")] {
-            let cost = play(&mut Bench::new(1, servers), CALM, calls(servers).max(2_000));
+            let cost = run_calls(&mut Bench::new(1, servers), CALM_INTERVAL_US, calls(servers).max(2_000));
             let mut found = BTreeMap::<&str, Vec<f64>>::new();
             for size in sizes {
                 found.entry("p50").or_default().push(sum_quantile(&cost.set_up, size, 0.5));
--- a/crates/lemoncleat-node/benches/structures.rs
+++ b/crates/lemoncleat-node/benches/structures.rs
@@ -1,6 +1,6 @@
-//! The timer wheel against a binary heap, and the numbering trie against a sorted list.
+//! Compares the timer wheel with a binary heap, and the numbering trie with a sorted list.
 //!
-//! Ratios in one run: how many times faster the structure of the node is than the plain one.
+//! The ratios of one run tell how many times faster the node's structure is than the simple one.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -11,11 +11,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Operations measured.
+/// Number of operations measured.
 const ROUNDS: usize = 400_000;
 
-/// The least of five runs, in nanoseconds for each round.
-fn time(rounds: usize, mut run: impl FnMut()) -> f64 {
+/// Returns the shortest of five runs, in nanoseconds per operation.
+fn measure(rounds: usize, mut run: impl FnMut()) -> f64 {
     let runs = (0..5).map(|_| {
         let start = Instant::now();
         run();
@@ -24,13 +24,13 @@
     runs.fold(f64::INFINITY, f64::min)
 }
 
-/// A call's usual life: a timer is set for its attempt and mostly cancelled before it fires, while the
-/// clock goes on and others fire.
-fn timers(standing: usize) {
+/// Simulates timers of calls: a timer is set for each attempt and mostly cancelled before it expires, while
+/// the clock advances and other timers expire.
+fn compare_timers(standing: usize) {
     let mut rng = SmallRng::seed_from_u64(1);
     let spans: Vec<i64> = (0..ROUNDS).map(|_| rng.random_range(1_000..60_000_000)).collect();
     let fill: Vec<i64> = (0..standing).map(|_| rng.random_range(1_000..60_000_000)).collect();
-    let wheel = time(ROUNDS, || {
+    let wheel = measure(ROUNDS, || {
         let mut wheel = Wheel::new();
         for (id, at) in fill.iter().enumerate() {
             wheel.set(*at, id);
@@ -48,8 +48,8 @@
         }
         black_box(wheel.len());
     });
-    // A heap can't take one out of its middle: cancelled ones are marked and passed over when they come up.
-    let heap = time(ROUNDS, || {
+    // A heap can't remove an inner entry: cancelled timers are marked and skipped when they reach the top.
+    let heap = measure(ROUNDS, || {
         let mut heap = BinaryHeap::new();
         let mut cancelled = HashSet::new();
         for (id, at) in fill.iter().enumerate() {
@@ -79,7 +79,7 @@
     );
 }
 
-fn numbers(prefixes: usize) {
+fn compare_numbering(prefixes: usize) {
     let mut rng = SmallRng::seed_from_u64(2);
     let mut digits = |most: usize| -> String {
         let len = rng.random_range(3..=most);
@@ -96,7 +96,7 @@
     }
     list.sort_by(|(a, _), (b, _)| a.cmp(b));
     let numbers: Vec<String> = (0..10_000).map(|_| format!("{}0000", digits(9))).collect();
-    // The plain way: for each length, from the longest, a binary search in the sorted list.
+    // The simple structure: for each length, from the longest, a binary search in the sorted list.
     let find = |number: &str| {
         (0..=number.len().min(8)).rev().find_map(|len| {
             let at = list.binary_search_by(|(prefix, _)| prefix.as_str().cmp(&number[..len])).ok()?;
@@ -106,12 +106,12 @@
     for number in &numbers {
         assert_eq!(plan.find(number), find(number), "the two agree on {number}");
     }
-    let trie = time(numbers.len(), || {
+    let trie = measure(numbers.len(), || {
         numbers.iter().for_each(|number| {
             black_box(plan.find(number));
         })
     });
-    let sorted = time(numbers.len(), || {
+    let sorted = measure(numbers.len(), || {
         numbers.iter().for_each(|number| {
             black_box(find(number));
         })
@@ -124,9 +124,9 @@
 
 fn main() {
     for standing in [1_000, 100_000, 1_000_000] {
-        timers(standing);
+        compare_timers(standing);
     }
     for prefixes in [100, 10_000, 100_000] {
-        numbers(prefixes);
+        compare_numbering(prefixes);
     }
 }
--- a/crates/lemoncleat-node/src/node/gap.rs
+++ b/crates/lemoncleat-node/src/node/gap.rs
@@ -4,7 +4,7 @@
 //! Everything that arrived meanwhile is read at once, in an order that does not reflect the order of arrival.
 //! The node therefore first handles what is overdue toward callers. It then reads the whole backlog; answers
 //! and releases take effect as they are read. After that it evaluates watchdogs and timeouts, and reports all
-//! events to the module at one time, as the module's benchmark does, list updates first. Set-ups, old and
+//! events to the module at one time, as the module's test bench does, list updates first. Set-ups, old and
 //! new, come last. A request read from the backlog counts as having arrived when the gap began, the most
 //! conservative assumption.
 
--- a/crates/lemoncleat-node/src/notice.rs
+++ b/crates/lemoncleat-node/src/notice.rs
@@ -139,32 +139,34 @@
             Notice::PeerDown(host, reason) => write!(f, "peer {host} is down: {reason:?}"),
             Notice::PeerRefused(host, why) => write!(f, "no connection with peer {host}: {why}"),
             Notice::PeerRestarted(host) => write!(f, "peer {host} restarted: its calls are cut"),
-            Notice::UnknownPeer(conn, host) => write!(f, "connection {}: {host:?} is not a known peer", conn.0),
+            Notice::UnknownPeer(conn, host) => {
+                write!(f, "connection {}: {host:?} is not a known peer", conn.0)
+            }
             Notice::MalformedStream(conn, error) => write!(f, "connection {}: {error}", conn.0),
             Notice::NoCapabilities(conn) => write!(f, "connection {}: no CER received", conn.0),
             Notice::BadRequest(host, code, why) => write!(f, "request of {host} refused with {code}: {why}"),
             Notice::UnknownAnswer(host, id) => write!(f, "answer of {host} to an unknown request {id:#010x}"),
             Notice::BadAnswer(host, id) => {
-                write!(f, "answer of {host} to request {id:#010x} is malformed or belongs to another call: released")
+                write!(f, "answer of {host} to request {id:#010x} is invalid or not for its call: released")
             }
             Notice::LateAnswer(host) => write!(f, "late success of {host}: released"),
             Notice::ListUpdated { ready, draining } => {
                 write!(f, "the list has {ready} servers, {draining} draining")
             }
-            Notice::ConnectionLimitReached(conn) => write!(f, "connection {} closed: too many connections", conn.0),
+            Notice::ConnectionLimitReached(conn) => write!(f, "connection limit reached: {} closed", conn.0),
             Notice::CallLimitReached(host) => write!(f, "call of {host} turned away: too many calls"),
             Notice::QueueFull(host) => write!(f, "write queue toward {host} is full"),
             Notice::WordTooLong(host, bytes) => {
                 write!(f, "word of {bytes} bytes for member {host} refused: too long")
             }
-            Notice::DeadlineGuard(call) => write!(f, "call {call} failed by the deadline guard: the module had not answered"),
+            Notice::DeadlineGuard(call) => write!(f, "call {call} failed by the deadline guard"),
             Notice::AnswerWithheld { session, result, late } => {
                 let ms = *late as f64 / 1e3;
-                write!(f, "answer {result} of call {session} withheld: {ms:.1} ms after its caller's deadline")
+                write!(f, "answer {result} of call {session} withheld: {ms:.1} ms past the deadline")
             }
             Notice::LoopGap { time, set_ups, withheld } => write!(
                 f,
-                "event loop had no turn for {} ms: {set_ups} set-ups arrived meanwhile, {withheld} answers were too late",
+                "event loop stalled for {} ms: {set_ups} set-ups arrived, {withheld} answers too late",
                 time / 1_000
             ),
             Notice::CircuitsDiffer(host, how) => write!(f, "circuits toward {host} differ: {how}"),
--- a/crates/lemoncleat-node/tests/common/mod.rs
+++ b/crates/lemoncleat-node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A node under a virtual clock, with clients and servers played by hand. What each end receives is kept as
-//! whole frames.
+//! A node driven by a virtual clock, with clients and servers simulated by the test. What each end receives
+//! is kept as complete frames.
 
 #![allow(dead_code, missing_docs)]
 
@@ -47,11 +47,11 @@
     settings
 }
 
-/// A frame that an end received.
+/// A frame received by one end of a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Got(pub Vec<u8>);
+pub struct Frame(pub Vec<u8>);
 
-impl Got {
+impl Frame {
     pub fn message(&self) -> MessageRef<'_> {
         MessageRef::parse(&self.0).expect("the node sends whole messages")
     }
@@ -70,27 +70,27 @@
     }
 }
 
-pub struct Bench {
+pub struct Harness {
     pub node: Node,
     pub now: Micros,
-    inbox: BTreeMap<ConnId, Vec<Got>>,
+    inbox: BTreeMap<ConnId, Vec<Frame>>,
     readers: HashMap<ConnId, FrameReader>,
     pub closed: Vec<ConnId>,
     pub dials: Vec<(PeerId, SocketAddr)>,
     pub notices: Vec<Notice>,
-    /// What members said, and how their links came and went.
+    /// Messages received from members, and changes of their links.
     pub heard: Vec<(usize, Vec<u8>)>,
     pub links: Vec<(usize, bool)>,
     pub stopped: bool,
-    /// What is sent counts as written at once.
-    pub writes: bool,
+    /// Whether sent bytes are reported as written at once.
+    pub report_written: bool,
     next_conn: u64,
     next_id: u32,
 }
 
-impl Bench {
-    pub fn new(settings: NodeSettings) -> Bench {
-        Bench {
+impl Harness {
+    pub fn new(settings: NodeSettings) -> Harness {
+        Harness {
             node: Node::new(settings, 1, 42).expect("good settings"),
             now: SECOND,
             inbox: BTreeMap::new(),
@@ -101,7 +101,7 @@
             heard: Vec::new(),
             links: Vec::new(),
             stopped: false,
-            writes: true,
+            report_written: true,
             next_conn: 0,
             next_id: 1000,
         }
@@ -113,7 +113,7 @@
         self.carry_out(out);
     }
 
-    /// Does what the node asks for.
+    /// Carries out the node's outputs.
     pub fn carry_out(&mut self, out: Vec<Output>) {
         let mut written = Vec::new();
         for output in out {
@@ -125,7 +125,7 @@
                     let reader = self.readers.entry(conn).or_insert_with(|| FrameReader::new(1 << 20));
                     reader.push(&bytes);
                     while let Some(frame) = reader.next_frame().expect("the node sends Diameter") {
-                        self.inbox.entry(conn).or_default().push(Got(frame.to_vec()));
+                        self.inbox.entry(conn).or_default().push(Frame(frame.to_vec()));
                     }
                 }
                 Output::Close(conn) => self.closed.push(conn),
@@ -136,15 +136,15 @@
                 Output::Stopped => self.stopped = true,
             }
         }
-        if self.writes {
+        if self.report_written {
             for (conn, count) in written {
                 self.input(Input::Wrote(conn, count));
             }
         }
     }
 
-    /// Lets time pass, with a turn for the node whenever it asks for one.
-    pub fn pass(&mut self, span: Micros) {
+    /// Advances the clock and gives the node a turn whenever it asks for one.
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(wake) = self.node.wake().filter(|wake| *wake <= end) {
             self.now = self.now.max(wake);
@@ -158,15 +158,15 @@
         self.input(Input::Timeout);
     }
 
-    /// The node had no turn for a span; what follows until [`Bench::caught_up`] is its backlog.
-    pub fn away(&mut self, span: Micros) {
+    /// Simulates a gap of this length between turns; what follows until [`Harness::end_gap`] is its backlog.
+    pub fn begin_gap(&mut self, span: Micros) {
         let since = self.now;
         self.now += span;
         self.input(Input::Away(since));
     }
 
-    /// The backlog is handed over; the node gets the turns that it asks for at once.
-    pub fn caught_up(&mut self) {
+    /// Reports the end of the backlog and gives the node the turns that it asks for at once.
+    pub fn end_gap(&mut self) {
         self.input(Input::CaughtUp);
         while self.node.wake().is_some_and(|wake| wake <= self.now) {
             self.now += MS;
@@ -174,46 +174,46 @@
         }
     }
 
-    /// What an end received since it was last asked.
-    pub fn take(&mut self, conn: ConnId) -> Vec<Got> {
+    /// Returns the frames received by an end since the last call.
+    pub fn take(&mut self, conn: ConnId) -> Vec<Frame> {
         self.inbox.remove(&conn).unwrap_or_default()
     }
 
-    /// The same, as short names.
+    /// Returns the same frames as short names.
     pub fn names(&mut self, conn: ConnId) -> Vec<&'static str> {
-        self.take(conn).iter().map(Got::name).collect()
+        self.take(conn).iter().map(Frame::name).collect()
     }
 
-    /// The one message of a kind that an end received, watchdogs passed over.
-    pub fn one(&mut self, conn: ConnId, name: &str) -> Got {
-        let got: Vec<Got> = self.take(conn).into_iter().filter(|got| got.name() != "DWR").collect();
-        let names: Vec<_> = got.iter().map(Got::name).collect();
+    /// Returns the only message that an end received, apart from watchdog requests.
+    pub fn expect_one(&mut self, conn: ConnId, name: &str) -> Frame {
+        let got: Vec<Frame> = self.take(conn).into_iter().filter(|got| got.name() != "DWR").collect();
+        let names: Vec<_> = got.iter().map(Frame::name).collect();
         assert_eq!(names, [name], "what connection {} received", conn.0);
         got[0].clone()
     }
 
-    pub fn conn(&mut self) -> ConnId {
+    pub fn new_conn(&mut self) -> ConnId {
         self.next_conn += 1;
         ConnId(self.next_conn)
     }
 
-    pub fn id(&mut self) -> u32 {
+    pub fn new_id(&mut self) -> u32 {
         self.next_id += 1;
         self.next_id
     }
 
     pub fn cer(&mut self, host: &str, state_id: u32) -> Vec<u8> {
-        let id = self.id();
+        let id = self.new_id();
         capabilities(MessageBuilder::request(d::CMD_CAPABILITIES, 0, false, id, id), host, state_id)
     }
 
-    /// A client connects.
-    pub fn client(&mut self, host: &str) -> ConnId {
-        let conn = self.conn();
+    /// Connects a client.
+    pub fn connect_client(&mut self, host: &str) -> ConnId {
+        let conn = self.new_conn();
         self.input(Input::Accepted(conn));
         let cer = self.cer(host, 1);
         self.input(Input::Bytes(conn, &cer));
-        assert_eq!(self.one(conn, "CEA").result(), 2001);
+        assert_eq!(self.expect_one(conn, "CEA").result(), 2001);
         conn
     }
 
@@ -222,28 +222,28 @@
         self.input(Input::List(ListNews::Changes(entries)));
     }
 
-    /// The connection that the node dials, answered by a server.
-    pub fn dialled(&mut self, host: &str, state_id: u32) -> ConnId {
+    /// Accepts the connection that the node dials and answers as the server.
+    pub fn accept_dial(&mut self, host: &str, state_id: u32) -> ConnId {
         let address = address(host);
         let at = self.dials.iter().position(|(_, to)| *to == address).expect("the node dials the server");
         let (peer, _) = self.dials.remove(at);
-        let conn = self.conn();
+        let conn = self.new_conn();
         self.input(Input::Dialled(peer, conn));
-        let cer = self.one(conn, "CER");
+        let cer = self.expect_one(conn, "CER");
         let cea = capabilities(MessageBuilder::answer(&cer.message(), 2001), host, state_id);
         self.input(Input::Bytes(conn, &cea));
         conn
     }
 
-    /// A server is listed and connected.
-    pub fn server(&mut self, host: &str) -> ConnId {
+    /// Lists and connects a server.
+    pub fn connect_server(&mut self, host: &str) -> ConnId {
         self.list(&[(host, Availability::Ready)]);
-        self.dialled(host, 1)
+        self.accept_dial(host, 1)
     }
 
-    /// A set-up of a caller that waits three seconds; its identifier.
+    /// Sends a set-up of a caller that waits three seconds; returns its identifier.
     pub fn call(&mut self, conn: ConnId, session: &str) -> u32 {
-        let id = self.id();
+        let id = self.new_id();
         let request = aar("front.example", session, id, id, false);
         self.input(Input::Bytes(conn, &request));
         id
@@ -253,13 +253,13 @@
         self.input(Input::Bytes(conn, bytes));
     }
 
-    /// A server answers a request.
-    pub fn answer(&mut self, conn: ConnId, request: &Got, result: u32) {
+    /// Sends a server's answer to a request.
+    pub fn answer(&mut self, conn: ConnId, request: &Frame, result: u32) {
         self.input(Input::Bytes(conn, &answer_of(request, result)));
     }
 
-    /// A peer answers all watchdogs that it received and gives back the rest.
-    pub fn answer_watchdogs(&mut self, conn: ConnId) -> Vec<Got> {
+    /// Answers all watchdog requests that a peer received and returns its other frames.
+    pub fn answer_watchdogs(&mut self, conn: ConnId) -> Vec<Frame> {
         let (watchdogs, rest): (Vec<_>, Vec<_>) =
             self.take(conn).into_iter().partition(|got| got.name() == "DWR");
         for dwr in watchdogs {
@@ -269,8 +269,8 @@
     }
 }
 
-/// The answer of a server to a request.
-pub fn answer_of(request: &Got, result: u32) -> Vec<u8> {
+/// Builds a server's answer to a request.
+pub fn answer_of(request: &Frame, result: u32) -> Vec<u8> {
     MessageBuilder::answer(&request.message(), result)
         .add_str(d::ORIGIN_HOST, "a.example")
         .add_str(d::ORIGIN_REALM, "example")
@@ -340,6 +340,6 @@
     request.build()
 }
 
-pub fn str_of(host: &str, session: &str, id: u32) -> Vec<u8> {
+pub fn str_request(host: &str, session: &str, id: u32) -> Vec<u8> {
     session_request(d::CMD_SESSION_TERMINATION, host, None, session, id)
 }
--- a/crates/lemoncleat-node/tests/members.rs
+++ b/crates/lemoncleat-node/tests/members.rs
@@ -1,10 +1,11 @@
-//! Nodes of one fleet as one another's peers: by hand, and on a small network under a virtual clock.
+//! Nodes of one fleet as Diameter peers: with a simulated member, and in a small simulated network under a
+//! virtual clock.
 
 mod common;
 
 use std::collections::BTreeMap;
 
-use common::{capabilities, settings, Bench, MS, SECOND};
+use common::{capabilities, settings, Harness, MS, SECOND};
 use lemoncleat::Availability;
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{result_code as code, MessageBuilder};
@@ -20,7 +21,7 @@
     MemberPeer { host: host.into(), address: ([127, 0, 0, 1], port).into() }
 }
 
-/// A node, itself the first of two members.
+/// Settings of a node that is the first of two members.
 fn with_members() -> NodeSettings {
     let members = vec![member("node.example", 1), member(OTHER, 2)];
     NodeSettings { members, ..settings() }
@@ -34,323 +35,329 @@
         .build()
 }
 
-/// The member connects to a node by hand.
-fn linked() -> (Bench, ConnId) {
-    let mut bench = Bench::new(with_members());
-    let conn = bench.client(OTHER);
-    assert_eq!(bench.links, [(1, true)]);
-    (bench, conn)
+/// Returns a node with a connected member.
+fn linked() -> (Harness, ConnId) {
+    let mut harness = Harness::new(with_members());
+    let conn = harness.connect_client(OTHER);
+    assert_eq!(harness.links, [(1, true)]);
+    (harness, conn)
 }
 
 #[test]
-fn a_word_goes_each_way_and_is_answered_at_once() {
-    let (mut bench, conn) = linked();
-    bench.bytes(conn, &fwr(OTHER, 7, b"hello"));
-    assert_eq!(bench.heard, [(1, b"hello".to_vec())]);
-    assert_eq!(bench.one(conn, "FWA").result(), code::SUCCESS);
-    bench.input(Input::Word(1, b"and back"));
-    let got = bench.one(conn, "FWR");
+fn exchanges_words_and_answers_them_at_once() {
+    let (mut harness, conn) = linked();
+    harness.bytes(conn, &fwr(OTHER, 7, b"hello"));
+    assert_eq!(harness.heard, [(1, b"hello".to_vec())]);
+    assert_eq!(harness.expect_one(conn, "FWA").result(), code::SUCCESS);
+    harness.input(Input::Word(1, b"and back"));
+    let got = harness.expect_one(conn, "FWR");
     assert_eq!(got.message().find(d::FLEET_WORD).map(|word| word.data), Some(&b"and back"[..]));
-    bench.answer(conn, &got, code::SUCCESS);
-    assert_eq!((bench.node.stats().words_sent, bench.node.stats().words_heard), (1, 1));
-    assert!(!bench.notices.iter().any(|notice| matches!(notice, Notice::UnknownAnswer(..))));
+    harness.answer(conn, &got, code::SUCCESS);
+    assert_eq!((harness.node.stats().words_sent, harness.node.stats().words_heard), (1, 1));
+    assert!(!harness.notices.iter().any(|notice| matches!(notice, Notice::UnknownAnswer(..))));
 }
 
 #[test]
-fn a_word_of_anybody_else_is_refused_as_a_command_that_is_not_known() {
-    // The same answer, byte for byte, from a node with members and from one without.
+fn refuses_words_from_other_peers_as_an_unknown_command() {
+    // The answer is the same, byte for byte, from a node with members and from one without.
     let mut answers = Vec::new();
     for settings in [with_members(), settings()] {
-        let mut bench = Bench::new(settings);
-        let (client, server) = (bench.client("front.example"), bench.server("a.example"));
+        let mut harness = Harness::new(settings);
+        let (client, server) = (harness.connect_client("front.example"), harness.connect_server("a.example"));
         for (conn, host) in [(client, "front.example"), (server, "a.example")] {
-            bench.bytes(conn, &fwr(host, 7, b"x"));
-            let got = bench.one(conn, "FWA");
+            harness.bytes(conn, &fwr(host, 7, b"x"));
+            let got = harness.expect_one(conn, "FWA");
             assert_eq!(got.result(), code::COMMAND_UNSUPPORTED);
             answers.push(got.0);
         }
-        assert!(bench.heard.is_empty() && bench.node.stats().turned_away == 2);
-        let stranger = bench.conn();
-        bench.input(Input::Accepted(stranger));
-        let cer = bench.cer("n9.example", 1);
-        bench.bytes(stranger, &cer);
-        assert_eq!(bench.one(stranger, "CEA").result(), code::UNKNOWN_PEER);
+        assert!(harness.heard.is_empty() && harness.node.stats().turned_away == 2);
+        let stranger = harness.new_conn();
+        harness.input(Input::Accepted(stranger));
+        let cer = harness.cer("n9.example", 1);
+        harness.bytes(stranger, &cer);
+        assert_eq!(harness.expect_one(stranger, "CEA").result(), code::UNKNOWN_PEER);
     }
     assert_eq!(answers[..2], answers[2..]);
 }
 
 #[test]
-fn a_member_says_words_and_nothing_else_and_none_too_long() {
-    let (mut bench, conn) = linked();
+fn refuses_other_commands_and_overlong_words_of_members() {
+    let (mut harness, conn) = linked();
     let call = common::aar(OTHER, "s;1", 9, 9, false);
-    bench.bytes(conn, &call);
-    assert_eq!(bench.one(conn, "AAA").result(), code::COMMAND_UNSUPPORTED);
-    bench.bytes(conn, &fwr(OTHER, 10, &vec![0; MAX_WORD_BYTES + 1]));
-    assert_eq!(bench.one(conn, "FWA").result(), code::INVALID_AVP_LENGTH);
+    harness.bytes(conn, &call);
+    assert_eq!(harness.expect_one(conn, "AAA").result(), code::COMMAND_UNSUPPORTED);
+    harness.bytes(conn, &fwr(OTHER, 10, &vec![0; MAX_WORD_BYTES + 1]));
+    assert_eq!(harness.expect_one(conn, "FWA").result(), code::INVALID_AVP_LENGTH);
     let empty = MessageBuilder::request(d::CMD_FLEET, d::APP_NAS, false, 11, 11)
         .add_str(d::ORIGIN_HOST, OTHER)
         .add_str(d::ORIGIN_REALM, "example")
         .build();
-    bench.bytes(conn, &empty);
-    assert_eq!(bench.one(conn, "FWA").result(), code::MISSING_AVP);
-    assert!(bench.heard.is_empty() && bench.links.len() == 1);
+    harness.bytes(conn, &empty);
+    assert_eq!(harness.expect_one(conn, "FWA").result(), code::MISSING_AVP);
+    assert!(harness.heard.is_empty() && harness.links.len() == 1);
 }
 
 #[test]
-fn words_that_do_not_fit_are_dropped_and_counted_and_close_nothing() {
-    let (mut bench, conn) = linked();
-    bench.input(Input::Word(1, &vec![0; MAX_WORD_BYTES + 1]));
-    assert!(bench.notices.contains(&Notice::WordTooLong(OTHER.into(), MAX_WORD_BYTES + 1)));
-    for nobody in [0, 2, usize::MAX] {
-        bench.input(Input::Word(nobody, b"x"));
-        bench.input(Input::Meet(nobody));
-        bench.input(Input::Part(nobody));
+fn drops_and_counts_words_beyond_the_limits() {
+    let (mut harness, conn) = linked();
+    harness.input(Input::Word(1, &vec![0; MAX_WORD_BYTES + 1]));
+    assert!(harness.notices.contains(&Notice::WordTooLong(OTHER.into(), MAX_WORD_BYTES + 1)));
+    for unknown in [0, 2, usize::MAX] {
+        harness.input(Input::Word(unknown, b"x"));
+        harness.input(Input::Meet(unknown));
+        harness.input(Input::Part(unknown));
     }
-    assert_eq!(bench.node.stats().words_dropped, 4);
-    // The member reads nothing: what waits for it stays below the limit.
-    bench.writes = false;
+    assert_eq!(harness.node.stats().words_dropped, 4);
+    // The member reads nothing: the bytes queued for it stay below the limit.
+    harness.report_written = false;
     for _ in 0..100 {
-        bench.input(Input::Word(1, &[0; MAX_WORD_BYTES]));
+        harness.input(Input::Word(1, &[0; MAX_WORD_BYTES]));
     }
-    let stats = bench.node.stats();
+    let stats = harness.node.stats();
     assert_eq!((stats.words_sent, stats.words_sent + stats.words_dropped), (31, 104));
-    assert!(bench.closed.is_empty() && bench.links == [(1, true)]);
-    // Nor do words that stay unanswered wait without end.
-    let (mut bench, conn2) = linked();
+    assert!(harness.closed.is_empty() && harness.links == [(1, true)]);
+    // The number of unanswered messages is bounded too.
+    let (mut harness, conn2) = linked();
     assert_eq!(conn, conn2);
     for _ in 0..2_000 {
-        bench.input(Input::Word(1, b"x"));
+        harness.input(Input::Word(1, b"x"));
     }
-    assert_eq!(bench.node.stats().words_sent, 1_024);
-    for word in bench.take(conn2) {
-        bench.answer(conn2, &word, code::SUCCESS);
+    assert_eq!(harness.node.stats().words_sent, 1_024);
+    for word in harness.take(conn2) {
+        harness.answer(conn2, &word, code::SUCCESS);
     }
-    bench.input(Input::Word(1, b"x"));
-    assert_eq!(bench.node.stats().words_sent, 1_025);
+    harness.input(Input::Word(1, b"x"));
+    assert_eq!(harness.node.stats().words_sent, 1_025);
 }
 
 #[test]
-fn a_flood_of_words_leaves_calls_as_they_are() {
-    let (mut bench, member) = linked();
-    let (client, server) = (bench.client("front.example"), bench.server("a.example"));
+fn serves_calls_during_a_flood_of_words() {
+    let (mut harness, member) = linked();
+    let (client, server) = (harness.connect_client("front.example"), harness.connect_server("a.example"));
     let flood: Vec<u8> = (0..5_000).flat_map(|id| fwr(OTHER, id, &[7; 200])).collect();
     for (turn, slice) in flood.chunks(8 * 1024).enumerate() {
-        let heard = bench.heard.len();
-        bench.bytes(member, slice);
-        assert!(bench.heard.len() - heard <= 8 * 1024 / 200, "a turn hears what a slice holds");
+        let heard = harness.heard.len();
+        harness.bytes(member, slice);
+        assert!(
+            harness.heard.len() - heard <= 8 * 1024 / 200,
+            "a turn reads no more messages than its slice contains"
+        );
         if turn % 20 == 0 {
-            bench.call(client, &format!("s;{turn}"));
-            let attempt = bench.one(server, "AAR");
-            bench.answer(server, &attempt, code::SUCCESS);
-            assert_eq!(bench.one(client, "AAA").result(), code::SUCCESS);
+            harness.call(client, &format!("s;{turn}"));
+            let attempt = harness.expect_one(server, "AAR");
+            harness.answer(server, &attempt, code::SUCCESS);
+            assert_eq!(harness.expect_one(client, "AAA").result(), code::SUCCESS);
         }
     }
-    assert_eq!(bench.heard.len(), 5_000);
-    assert_eq!(bench.take(member).len(), 5_000);
+    assert_eq!(harness.heard.len(), 5_000);
+    assert_eq!(harness.take(member).len(), 5_000);
 }
 
 #[test]
-fn a_silent_member_is_unlinked_at_the_watchdog_and_linked_when_it_speaks() {
-    let (mut bench, conn) = linked();
-    // Tw of 1 s, and a third of it to either side: one is sent by 1.34 s, and missed by 2.67 s.
-    bench.pass(2_700 * MS);
-    assert_eq!(bench.links, [(1, true), (1, false)]);
-    bench.input(Input::Word(1, b"x"));
-    assert_eq!(bench.node.stats().words_dropped, 1);
-    bench.bytes(conn, &fwr(OTHER, 1, b"here"));
-    assert_eq!(bench.links, [(1, true), (1, false), (1, true)]);
-    assert_eq!(bench.heard.len(), 1, "after the link is told of");
-    bench.pass(10 * SECOND);
-    assert!(bench.closed.contains(&conn));
-    assert_eq!(bench.links.last(), Some(&(1, false)));
-    assert!(bench.dials.is_empty(), "nobody asked to meet it");
-    // Back after a loss it is linked at its first answer, though RFC 3539 trusts it with calls only later.
-    let again = bench.conn();
-    bench.input(Input::Accepted(again));
-    let cer = bench.cer(OTHER, 1);
-    bench.bytes(again, &cer);
-    assert_eq!(bench.links.last(), Some(&(1, false)), "it may hear nothing of this node");
-    bench.answer_watchdogs(again);
-    assert_eq!(bench.links.last(), Some(&(1, true)));
+fn unlinks_a_silent_member_and_links_it_at_its_next_message() {
+    let (mut harness, conn) = linked();
+    // Tw is 1 s, with a jitter of a third: a watchdog request is sent by 1.34 s, and counts as unanswered by
+    // 2.67 s.
+    harness.advance(2_700 * MS);
+    assert_eq!(harness.links, [(1, true), (1, false)]);
+    harness.input(Input::Word(1, b"x"));
+    assert_eq!(harness.node.stats().words_dropped, 1);
+    harness.bytes(conn, &fwr(OTHER, 1, b"here"));
+    assert_eq!(harness.links, [(1, true), (1, false), (1, true)]);
+    assert_eq!(harness.heard.len(), 1, "after the link is reported");
+    harness.advance(10 * SECOND);
+    assert!(harness.closed.contains(&conn));
+    assert_eq!(harness.links.last(), Some(&(1, false)));
+    assert!(harness.dials.is_empty(), "it is not to be dialled");
+    // After a reconnection it is linked at its first answer, although RFC 3539 trusts it with calls only
+    // later.
+    let reconnected = harness.new_conn();
+    harness.input(Input::Accepted(reconnected));
+    let cer = harness.cer(OTHER, 1);
+    harness.bytes(reconnected, &cer);
+    assert_eq!(harness.links.last(), Some(&(1, false)), "nothing shows yet that this node's messages arrive");
+    harness.answer_watchdogs(reconnected);
+    assert_eq!(harness.links.last(), Some(&(1, true)));
 }
 
 #[test]
-fn a_gap_in_the_nodes_own_turns_is_no_silence_of_its_members() {
-    let (mut bench, conn) = linked();
-    bench.away(30 * SECOND);
-    bench.bytes(conn, &fwr(OTHER, 1, b"meanwhile"));
-    bench.caught_up();
-    assert_eq!((bench.links.len(), bench.heard.len()), (1, 1));
+fn keeps_members_linked_over_a_gap() {
+    let (mut harness, conn) = linked();
+    harness.begin_gap(30 * SECOND);
+    harness.bytes(conn, &fwr(OTHER, 1, b"meanwhile"));
+    harness.end_gap();
+    assert_eq!((harness.links.len(), harness.heard.len()), (1, 1));
 }
 
 #[test]
-fn who_dialled_parts_in_order_and_nobody_dials_again() {
-    let mut bench = Bench::new(with_members());
-    bench.input(Input::Meet(1));
-    let (peer, to) = bench.dials.remove(0);
+fn closes_only_its_own_connection_when_told_to_stop_dialling() {
+    let mut harness = Harness::new(with_members());
+    harness.input(Input::Meet(1));
+    let (peer, to) = harness.dials.remove(0);
     assert_eq!(to.port(), 2);
-    let conn = bench.conn();
-    bench.input(Input::Dialled(peer, conn));
-    let cer = bench.one(conn, "CER");
-    bench.bytes(conn, &capabilities(MessageBuilder::answer(&cer.message(), 2001), OTHER, 1));
-    bench.input(Input::Part(1));
-    assert_eq!(bench.links, [(1, true), (1, false)]);
-    let dpr = bench.one(conn, "DPR");
+    let conn = harness.new_conn();
+    harness.input(Input::Dialled(peer, conn));
+    let cer = harness.expect_one(conn, "CER");
+    harness.bytes(conn, &capabilities(MessageBuilder::answer(&cer.message(), 2001), OTHER, 1));
+    harness.input(Input::Part(1));
+    assert_eq!(harness.links, [(1, true), (1, false)]);
+    let dpr = harness.expect_one(conn, "DPR");
     assert_eq!(dpr.message().number(d::DISCONNECT_CAUSE), Some(2));
-    bench.answer(conn, &dpr, code::SUCCESS);
-    bench.pass(60 * SECOND);
-    assert!(bench.closed.contains(&conn) && bench.dials.is_empty());
-    // A connection that the member made is its own to end.
-    let theirs = bench.client(OTHER);
-    bench.input(Input::Part(1));
-    assert!(bench.take(theirs).is_empty());
-    assert_eq!(bench.links.last(), Some(&(1, true)));
-    // While dialling, parting ends that too; meeting dials until it succeeds.
-    bench.input(Input::Closed(theirs));
-    bench.input(Input::Meet(1));
-    bench.input(Input::Part(1));
-    assert!(bench.dials.is_empty(), "the dial is stopped");
-    bench.input(Input::Meet(1));
+    harness.answer(conn, &dpr, code::SUCCESS);
+    harness.advance(60 * SECOND);
+    assert!(harness.closed.contains(&conn) && harness.dials.is_empty());
+    // A connection made by the member is for the member to close.
+    let member_conn = harness.connect_client(OTHER);
+    harness.input(Input::Part(1));
+    assert!(harness.take(member_conn).is_empty());
+    assert_eq!(harness.links.last(), Some(&(1, true)));
+    // Stopping also ends a dial in progress; a wanted member is dialled until the dial succeeds.
+    harness.input(Input::Closed(member_conn));
+    harness.input(Input::Meet(1));
+    harness.input(Input::Part(1));
+    assert!(harness.dials.is_empty(), "the dial is stopped");
+    harness.input(Input::Meet(1));
     for _ in 0..20 {
-        let (peer, _) = bench.dials.remove(0);
-        bench.input(Input::DialFailed(peer));
-        // The longest wait is 10 s.
+        let (peer, _) = harness.dials.remove(0);
+        harness.input(Input::DialFailed(peer));
+        // The longest wait between dials is 10 s.
         let waited = (0..11).find(|_| {
-            bench.pass(SECOND);
-            !bench.dials.is_empty()
+            harness.advance(SECOND);
+            !harness.dials.is_empty()
         });
         assert!(waited.is_some());
     }
 }
 
 #[test]
-fn a_node_that_stops_disconnects_members_and_does_not_wait_for_them() {
-    let (mut bench, conn) = linked();
-    let client = bench.client("front.example");
-    bench.input(Input::Stop);
-    let dpr = bench.one(client, "DPR");
-    assert!(bench.take(conn).is_empty(), "while a client stays the fleet is of use");
-    bench.answer(client, &dpr, code::SUCCESS);
-    assert_eq!(bench.one(conn, "DPR").message().number(d::DISCONNECT_CAUSE), Some(0));
-    assert!(bench.stopped && bench.links.last() == Some(&(1, false)));
+fn disconnects_members_last_and_does_not_wait_for_them() {
+    let (mut harness, conn) = linked();
+    let client = harness.connect_client("front.example");
+    harness.input(Input::Stop);
+    let dpr = harness.expect_one(client, "DPR");
+    assert!(harness.take(conn).is_empty(), "members stay connected while a client is");
+    harness.answer(client, &dpr, code::SUCCESS);
+    assert_eq!(harness.expect_one(conn, "DPR").message().number(d::DISCONNECT_CAUSE), Some(0));
+    assert!(harness.stopped && harness.links.last() == Some(&(1, false)));
 }
 
 #[test]
-fn a_member_is_neither_client_nor_server() {
+fn refuses_a_member_that_is_a_client_or_server() {
     let mut settings = with_members();
     settings.members.push(member("front.example", 3));
-    let mut bench = Bench::new(settings);
-    bench.list(&[(OTHER, Availability::Ready), ("a.example", Availability::Ready)]);
-    assert_eq!(bench.dials.len(), 1);
+    let mut harness = Harness::new(settings);
+    harness.list(&[(OTHER, Availability::Ready), ("a.example", Availability::Ready)]);
+    assert_eq!(harness.dials.len(), 1);
     let refused = |host: &str| {
-        bench.notices.iter().any(|notice| matches!(notice, Notice::PeerRefused(of, _) if &**of == host))
+        harness.notices.iter().any(|notice| matches!(notice, Notice::PeerRefused(of, _) if &**of == host))
     };
     assert!(refused(OTHER) && refused("front.example") && !refused("node.example"));
 }
 
-fn refusals(bench: &Bench, host: &str) -> usize {
+fn refusals(harness: &Harness, host: &str) -> usize {
     let refused = |notice: &&Notice| matches!(notice, Notice::PeerRefused(of, _) if &**of == host);
-    bench.notices.iter().filter(refused).count()
+    harness.notices.iter().filter(refused).count()
 }
 
 #[test]
-fn a_machine_is_replaced_its_place_stays_empty_and_the_others_keep_theirs() {
+fn keeps_places_when_a_member_is_replaced() {
     let mut settings = with_members();
     settings.members.push(member("n3.example", 3));
-    let mut bench = Bench::new(settings);
-    let (went, stays) = (bench.client(OTHER), bench.client("n3.example"));
-    // In another order, and the new one in front.
+    let mut harness = Harness::new(settings);
+    let (removed, kept) = (harness.connect_client(OTHER), harness.connect_client("n3.example"));
+    // The list is in another order, with the new member first.
     let list = vec![member("n4.example", 4), member("n3.example", 3), member("node.example", 1)];
-    bench.input(Input::Members(list.clone()));
-    assert_eq!(bench.links, [(1, true), (2, true), (1, false)]);
+    harness.input(Input::Members(list.clone()));
+    assert_eq!(harness.links, [(1, true), (2, true), (1, false)]);
     assert!(
-        bench.take(stays).is_empty() && bench.notices.iter().all(|it| !matches!(it, Notice::PeerDown(..)))
+        harness.take(kept).is_empty() && harness.notices.iter().all(|it| !matches!(it, Notice::PeerDown(..)))
     );
-    let dpr = bench.one(went, "DPR");
+    let dpr = harness.expect_one(removed, "DPR");
     assert_eq!(dpr.message().number(d::DISCONNECT_CAUSE), Some(2));
-    // What it says until then is not heard; what is said to it is dropped.
-    bench.bytes(went, &fwr(OTHER, 1, b"still here"));
-    bench.input(Input::Word(1, b"x"));
-    bench.input(Input::Meet(1));
-    assert!(bench.heard.is_empty() && bench.dials.is_empty() && bench.take(went).is_empty());
-    assert_eq!((bench.node.stats().words_dropped, bench.node.stats().words_sent), (1, 0));
-    bench.answer(went, &dpr, code::SUCCESS);
-    assert!(bench.closed.contains(&went));
-    // It is a stranger now.
-    let again = bench.conn();
-    bench.input(Input::Accepted(again));
-    let cer = bench.cer(OTHER, 1);
-    bench.bytes(again, &cer);
-    assert_eq!(bench.one(again, "CEA").result(), code::UNKNOWN_PEER);
-    // The new one has the next place; the same list once more changes nothing.
-    bench.input(Input::Meet(3));
-    assert_eq!(bench.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [4]);
-    bench.input(Input::Members(list.clone()));
-    assert_eq!((bench.dials.len(), bench.links.len()), (1, 3));
-    bench.input(Input::Word(2, b"as before"));
-    assert_eq!(bench.names(stays), ["FWR"]);
-    // Back under its name it gets a place of its own.
-    bench.input(Input::Members([list, vec![member(OTHER, 2)]].concat()));
-    bench.client(OTHER);
-    assert_eq!(bench.links.last(), Some(&(4, true)));
-    assert!(refusals(&bench, OTHER) == 0 && refusals(&bench, "node.example") == 0);
+    // Messages from the removed member are ignored, and messages to it are dropped.
+    harness.bytes(removed, &fwr(OTHER, 1, b"still here"));
+    harness.input(Input::Word(1, b"x"));
+    harness.input(Input::Meet(1));
+    assert!(harness.heard.is_empty() && harness.dials.is_empty() && harness.take(removed).is_empty());
+    assert_eq!((harness.node.stats().words_dropped, harness.node.stats().words_sent), (1, 0));
+    harness.answer(removed, &dpr, code::SUCCESS);
+    assert!(harness.closed.contains(&removed));
+    // It is an unknown peer now.
+    let reconnected = harness.new_conn();
+    harness.input(Input::Accepted(reconnected));
+    let cer = harness.cer(OTHER, 1);
+    harness.bytes(reconnected, &cer);
+    assert_eq!(harness.expect_one(reconnected, "CEA").result(), code::UNKNOWN_PEER);
+    // The new member has the next place; the same list again changes nothing.
+    harness.input(Input::Meet(3));
+    assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [4]);
+    harness.input(Input::Members(list.clone()));
+    assert_eq!((harness.dials.len(), harness.links.len()), (1, 3));
+    harness.input(Input::Word(2, b"as before"));
+    assert_eq!(harness.names(kept), ["FWR"]);
+    // Listed again, it gets a new place.
+    harness.input(Input::Members([list, vec![member(OTHER, 2)]].concat()));
+    harness.connect_client(OTHER);
+    assert_eq!(harness.links.last(), Some(&(4, true)));
+    assert!(refusals(&harness, OTHER) == 0 && refusals(&harness, "node.example") == 0);
 }
 
 #[test]
-fn a_member_that_goes_while_it_is_dialled_or_lost_is_dialled_no_more() {
+fn stops_dialling_a_removed_member() {
     for dialled in [false, true] {
-        let mut bench = Bench::new(with_members());
-        bench.input(Input::Meet(1));
-        let (peer, _) = bench.dials[0];
+        let mut harness = Harness::new(with_members());
+        harness.input(Input::Meet(1));
+        let (peer, _) = harness.dials[0];
         if dialled {
-            bench.dials.clear();
-            bench.input(Input::DialFailed(peer));
+            harness.dials.clear();
+            harness.input(Input::DialFailed(peer));
         }
-        bench.input(Input::Members(vec![member("node.example", 1)]));
-        assert!(bench.dials.is_empty(), "the dial is stopped");
-        bench.pass(60 * SECOND);
-        assert!(bench.dials.is_empty() && bench.links.is_empty());
+        harness.input(Input::Members(vec![member("node.example", 1)]));
+        assert!(harness.dials.is_empty(), "the dial is stopped");
+        harness.advance(60 * SECOND);
+        assert!(harness.dials.is_empty() && harness.links.is_empty());
     }
 }
 
 #[test]
-fn a_member_of_another_address_is_ended_in_order_and_dialled_there_if_it_is_to_be_met() {
+fn redials_a_wanted_member_when_its_address_changes() {
     let moved = || vec![member("node.example", 1), member(OTHER, 9)];
-    let mut bench = Bench::new(with_members());
-    bench.input(Input::Meet(1));
-    let (peer, _) = bench.dials.remove(0);
-    let conn = bench.conn();
-    bench.input(Input::Dialled(peer, conn));
-    let cer = bench.one(conn, "CER");
-    bench.bytes(conn, &capabilities(MessageBuilder::answer(&cer.message(), 2001), OTHER, 1));
-    bench.input(Input::Members(moved()));
-    assert_eq!(bench.links, [(1, true), (1, false)]);
-    let dpr = bench.one(conn, "DPR");
+    let mut harness = Harness::new(with_members());
+    harness.input(Input::Meet(1));
+    let (peer, _) = harness.dials.remove(0);
+    let conn = harness.new_conn();
+    harness.input(Input::Dialled(peer, conn));
+    let cer = harness.expect_one(conn, "CER");
+    harness.bytes(conn, &capabilities(MessageBuilder::answer(&cer.message(), 2001), OTHER, 1));
+    harness.input(Input::Members(moved()));
+    assert_eq!(harness.links, [(1, true), (1, false)]);
+    let dpr = harness.expect_one(conn, "DPR");
     assert_eq!(dpr.message().number(d::DISCONNECT_CAUSE), Some(0));
-    bench.answer(conn, &dpr, code::SUCCESS);
-    bench.pass(12 * SECOND);
-    assert_eq!(bench.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [9]);
-    // While it is being dialled there, it moves once more.
-    bench.input(Input::Members(with_members().members));
-    assert_eq!(bench.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [2]);
-    // A connection that the member made, and that nobody here asked for, is ended and not sought.
-    let (mut bench, conn) = linked();
-    bench.input(Input::Members(moved()));
-    let dpr = bench.one(conn, "DPR");
-    bench.answer(conn, &dpr, code::SUCCESS);
-    bench.pass(12 * SECOND);
-    assert!(bench.dials.is_empty() && bench.closed.contains(&conn));
-    let theirs = bench.conn();
-    bench.input(Input::Accepted(theirs));
-    let cer = bench.cer(OTHER, 1);
-    bench.bytes(theirs, &cer);
-    assert_eq!(bench.links.last(), Some(&(1, true)));
+    harness.answer(conn, &dpr, code::SUCCESS);
+    harness.advance(12 * SECOND);
+    assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [9]);
+    // Its address changes again while it is being dialled.
+    harness.input(Input::Members(with_members().members));
+    assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [2]);
+    // A connection made by the member, which this node was not asked to dial, is closed and not dialled
+    // again.
+    let (mut harness, conn) = linked();
+    harness.input(Input::Members(moved()));
+    let dpr = harness.expect_one(conn, "DPR");
+    harness.answer(conn, &dpr, code::SUCCESS);
+    harness.advance(12 * SECOND);
+    assert!(harness.dials.is_empty() && harness.closed.contains(&conn));
+    let member_conn = harness.new_conn();
+    harness.input(Input::Accepted(member_conn));
+    let cer = harness.cer(OTHER, 1);
+    harness.bytes(member_conn, &cer);
+    assert_eq!(harness.links.last(), Some(&(1, true)));
 }
 
 #[test]
-fn a_list_that_names_clients_servers_or_one_twice_is_taken_but_for_these() {
-    let mut bench = Bench::new(with_members());
-    bench.server("a.example");
+fn skips_invalid_entries_of_a_member_list() {
+    let mut harness = Harness::new(with_members());
+    harness.connect_server("a.example");
     let list = || {
         let mut members = with_members().members;
         members.extend([
@@ -361,86 +368,87 @@
         ]);
         members
     };
-    bench.input(Input::Members(list()));
+    harness.input(Input::Members(list()));
     assert_eq!(
-        [OTHER, "a.example", "front.example", "n3.example"].map(|host| refusals(&bench, host)),
+        [OTHER, "a.example", "front.example", "n3.example"].map(|host| refusals(&harness, host)),
         [1, 1, 1, 0]
     );
-    // They keep the places that they would have.
+    // They keep the places that their position gives them.
     for place in 1..6 {
-        bench.input(Input::Meet(place));
+        harness.input(Input::Meet(place));
     }
-    assert_eq!(bench.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [2, 8]);
-    // Calls go on: the client and the server are what they were.
-    let client = bench.client("front.example");
-    bench.call(client, "s;1");
+    assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [2, 8]);
+    // Calls continue: the client and the server are unchanged.
+    let client = harness.connect_client("front.example");
+    harness.call(client, "s;1");
     assert!(
-        bench.node.stats().calls == 1 && bench.notices.iter().all(|it| !matches!(it, Notice::PeerDown(..)))
+        harness.node.stats().calls == 1
+            && harness.notices.iter().all(|it| !matches!(it, Notice::PeerDown(..)))
     );
 }
 
 #[test]
-fn members_come_back_under_their_names_only_as_often_as_there_are_places() {
-    let mut bench = Bench::new(with_members());
+fn refuses_members_when_all_places_are_used() {
+    let mut harness = Harness::new(with_members());
     for _ in 0..16 * 1024 {
-        bench.input(Input::Members(vec![member("node.example", 1)]));
-        bench.input(Input::Members(with_members().members));
+        harness.input(Input::Members(vec![member("node.example", 1)]));
+        harness.input(Input::Members(with_members().members));
     }
-    assert_eq!(refusals(&bench, OTHER), 2, "the last two find no place");
-    bench.input(Input::Meet(16 * 1024));
-    assert!(bench.dials.is_empty());
+    assert_eq!(refusals(&harness, OTHER), 2, "the last two find no place");
+    harness.input(Input::Meet(16 * 1024));
+    assert!(harness.dials.is_empty());
 }
 
-/// Calls of all kinds of ends, with the frames that clients and servers got.
-fn day(settings: NodeSettings, member: bool) -> Vec<Vec<u8>> {
-    let mut bench = Bench::new(settings);
+/// Runs calls that end in various ways; returns the frames that clients and servers received.
+fn run_calls(settings: NodeSettings, member: bool) -> Vec<Vec<u8>> {
+    let mut harness = Harness::new(settings);
     let mut rng = SmallRng::seed_from_u64(5);
-    let client = bench.client("front.example");
-    let mut ends = vec![client, bench.server("a.example"), bench.server("b.example")];
+    let client = harness.connect_client("front.example");
+    let mut ends = vec![client, harness.connect_server("a.example"), harness.connect_server("b.example")];
     let link = member.then(|| {
-        bench.input(Input::Meet(1));
-        let conn = bench.conn();
-        bench.input(Input::Accepted(conn));
+        harness.input(Input::Meet(1));
+        let conn = harness.new_conn();
+        harness.input(Input::Accepted(conn));
         let cer = capabilities(MessageBuilder::request(d::CMD_CAPABILITIES, 0, false, 1, 1), OTHER, 1);
-        bench.bytes(conn, &cer);
+        harness.bytes(conn, &cer);
         conn
     });
     let (mut frames, mut hosts) = (Vec::new(), ["a.example", "b.example"].into_iter().cycle());
     for round in 0..400 {
         if let Some(link) = link {
-            bench.answer_watchdogs(link);
+            harness.answer_watchdogs(link);
         }
-        bench.call(client, &format!("s;{round}"));
+        harness.call(client, &format!("s;{round}"));
         for &end in &ends {
-            for got in bench.take(end) {
+            for got in harness.take(end) {
                 if got.message().header.is_request() && rng.random_bool(0.97) {
                     let result = if rng.random_bool(0.9) { 2001 } else { 3004 };
-                    bench.answer(end, &got, result);
+                    harness.answer(end, &got, result);
                 }
                 frames.push(got.0);
             }
         }
         if round % 50 == 49 {
-            // A server's connection is lost, and dialled again.
+            // A server's connection is lost and dialled again.
             let (host, lost) = (hosts.next().expect("it cycles"), ends.remove(1));
-            bench.input(Input::Closed(lost));
-            bench.pass(SECOND);
-            if bench.dials.iter().any(|(_, to)| *to == common::address(host)) {
-                ends.push(bench.dialled(host, 1));
+            harness.input(Input::Closed(lost));
+            harness.advance(SECOND);
+            if harness.dials.iter().any(|(_, to)| *to == common::address(host)) {
+                ends.push(harness.accept_dial(host, 1));
             }
         }
-        bench.pass(rng.random_range(1..200) * MS);
+        harness.advance(rng.random_range(1..200) * MS);
     }
     frames
 }
 
 #[test]
-fn without_members_and_with_silent_ones_clients_and_servers_get_the_same_bytes() {
-    let alone = day(settings(), false);
+fn members_do_not_change_the_bytes_sent_to_clients_and_servers() {
+    let alone = run_calls(settings(), false);
     assert!(alone.len() > 500, "{} frames", alone.len());
-    assert_eq!(alone, day(NodeSettings { members: Vec::new(), ..settings() }, false));
-    assert_eq!(alone, day(with_members(), false));
-    assert_eq!(alone, day(with_members(), true));
+    assert_eq!(alone, run_calls(NodeSettings { members: Vec::new(), ..settings() }, false));
+    assert_eq!(alone, run_calls(with_members(), false));
+    assert_eq!(alone, run_calls(with_members(), true));
 }
 
 // ---- A small network ----
@@ -453,27 +461,27 @@
     Closed(ConnId),
 }
 
-/// Two nodes with relays between them that delay, cut one way, and are known by ports of their own.
+/// Two nodes connected by relays, each with a port of its own, that delay messages and can cut one direction.
 struct Net {
     nodes: Vec<Node>,
     rng: SmallRng,
     now: Micros,
-    /// By moment and order of their making.
+    /// Ordered by time, then by creation.
     steps: BTreeMap<(Micros, u64), (usize, Step)>,
-    made: u64,
-    /// The last moment at which something arrives at each end, so that a stream stays in order.
+    created: u64,
+    /// The latest scheduled arrival at each end, so that a stream stays in order.
     last: BTreeMap<ConnId, Micros>,
     open: BTreeMap<ConnId, usize>,
-    /// What this node sends is lost.
+    /// Whether everything that this node sends is lost.
     cut: [bool; 2],
     linked: [bool; 2],
     heard: [Vec<Vec<u8>>; 2],
-    /// Connections that were accepted in all.
+    /// Number of connections accepted.
     accepted: u64,
-    /// Messages and bytes that each node sent, and that came to it.
+    /// Messages and bytes that each node sent and received.
     sent: [(u64, u64); 2],
     came: [(u64, u64); 2],
-    /// How many pieces a message comes in.
+    /// The number of pieces in which a message is delivered.
     pieces: usize,
 }
 
@@ -487,8 +495,8 @@
     count
 }
 
-/// The other end of a connection: ends come in pairs.
-fn far(conn: ConnId) -> ConnId {
+/// Returns the other end of a connection; the ends are numbered in pairs.
+fn other_end(conn: ConnId) -> ConnId {
     ConnId(conn.0 ^ 1)
 }
 
@@ -505,7 +513,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now: SECOND,
             steps: BTreeMap::new(),
-            made: 0,
+            created: 0,
             last: BTreeMap::new(),
             open: BTreeMap::new(),
             cut: [false; 2],
@@ -518,45 +526,45 @@
         }
     }
 
-    fn later(&mut self, to: usize, conn: ConnId, step: Step) {
+    fn schedule(&mut self, to: usize, conn: ConnId, step: Step) {
         let at = self.now + self.rng.random_range(100..80 * MS);
         let at = at.max(self.last.get(&conn).copied().unwrap_or(0));
         self.last.insert(conn, at);
-        self.made += 1;
-        self.steps.insert((at, self.made), (to, step));
+        self.created += 1;
+        self.steps.insert((at, self.created), (to, step));
     }
 
-    fn tell(&mut self, node: usize, input: Input<'_>) {
+    fn input(&mut self, node: usize, input: Input<'_>) {
         let mut out = Vec::new();
         self.nodes[node].handle(self.now, input, &mut out);
         for output in out {
             match output {
                 Output::Dial(peer, to) => {
                     assert_eq!(usize::from(to.port()), 102 - node, "the other one's relay");
-                    let near = ConnId(self.made * 2 + 1000);
-                    self.later(1 - node, far(near), Step::Accept(far(near)));
-                    self.later(node, near, Step::Dialled(peer, near));
+                    let near = ConnId(self.created * 2 + 1000);
+                    self.schedule(1 - node, other_end(near), Step::Accept(other_end(near)));
+                    self.schedule(node, near, Step::Dialled(peer, near));
                 }
                 Output::Send(conn, bytes) => {
                     let count = bytes.len();
                     let sent = &mut self.sent[node];
                     *sent = (sent.0 + messages(&bytes), sent.1 + count as u64);
                     if !self.cut[node] {
-                        self.later(1 - node, far(conn), Step::Bytes(far(conn), bytes));
+                        self.schedule(1 - node, other_end(conn), Step::Bytes(other_end(conn), bytes));
                     }
-                    self.tell(node, Input::Wrote(conn, count));
+                    self.input(node, Input::Wrote(conn, count));
                 }
                 Output::Close(conn) => {
                     self.open.remove(&conn);
                     if !self.cut[node] {
-                        self.later(1 - node, far(conn), Step::Closed(far(conn)));
+                        self.schedule(1 - node, other_end(conn), Step::Closed(other_end(conn)));
                     }
                 }
                 Output::Linked(place) | Output::Unlinked(place) if place == node => panic!("its own link"),
                 Output::Linked(_) => assert!(!std::mem::replace(&mut self.linked[node], true)),
                 Output::Unlinked(_) => assert!(std::mem::replace(&mut self.linked[node], false)),
                 Output::Heard(_, word) => {
-                    assert!(self.linked[node], "heard while unlinked");
+                    assert!(self.linked[node], "message received while unlinked");
                     self.heard[node].push(word);
                 }
                 Output::StopDial(_) | Output::Notice(_) | Output::Stopped => {}
@@ -564,7 +572,7 @@
         }
     }
 
-    fn pass(&mut self, span: Micros) {
+    fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let step = self.steps.keys().next().map(|(at, _)| *at);
@@ -573,48 +581,48 @@
             self.now = next;
             if step == Some(next) {
                 let Some((_, (node, step))) = self.steps.pop_first() else { break };
-                self.arrive(node, step);
+                self.run_step(node, step);
             } else {
                 for node in 0..2 {
-                    self.tell(node, Input::Timeout);
+                    self.input(node, Input::Timeout);
                 }
             }
         }
         self.now = end;
     }
 
-    fn arrive(&mut self, node: usize, step: Step) {
+    fn run_step(&mut self, node: usize, step: Step) {
         match step {
             Step::Accept(conn) => {
                 self.accepted += 1;
                 self.open.insert(conn, node);
-                self.tell(node, Input::Accepted(conn));
+                self.input(node, Input::Accepted(conn));
             }
             Step::Dialled(peer, conn) => {
                 self.open.insert(conn, node);
-                self.tell(node, Input::Dialled(peer, conn));
+                self.input(node, Input::Dialled(peer, conn));
             }
             Step::Bytes(conn, bytes) if self.open.contains_key(&conn) => {
                 for piece in bytes.chunks(bytes.len().div_ceil(self.pieces)) {
                     if self.open.contains_key(&conn) {
                         self.came[node].1 += piece.len() as u64;
-                        self.tell(node, Input::Bytes(conn, piece));
+                        self.input(node, Input::Bytes(conn, piece));
                     }
                 }
                 self.came[node].0 += messages(&bytes);
             }
-            Step::Closed(conn) if self.open.remove(&conn).is_some() => self.tell(node, Input::Closed(conn)),
+            Step::Closed(conn) if self.open.remove(&conn).is_some() => self.input(node, Input::Closed(conn)),
             Step::Bytes(..) | Step::Closed(_) => {}
         }
     }
 
-    fn say(&mut self, count: u8) {
+    fn exchange_words(&mut self, count: u8) {
         for word in 0..count {
             for node in 0..2 {
-                self.tell(node, Input::Word(1 - node, &[word]));
+                self.input(node, Input::Word(1 - node, &[word]));
             }
         }
-        self.pass(SECOND);
+        self.advance(SECOND);
         for heard in &mut self.heard {
             assert_eq!(std::mem::take(heard), (0..count).map(|word| vec![word]).collect::<Vec<_>>());
         }
@@ -622,82 +630,82 @@
 }
 
 #[test]
-fn two_that_dial_each_other_at_once_end_with_one_connection_that_carries() {
+fn simultaneous_dials_end_with_one_working_connection() {
     let mut most = 0;
     for seed in 0..500 {
         let mut net = Net::new(seed);
-        net.tell(0, Input::Meet(1));
+        net.input(0, Input::Meet(1));
         let apart = net.rng.random_range(0..60 * MS);
-        net.pass(apart);
-        net.tell(1, Input::Meet(0));
-        net.pass(5 * SECOND);
+        net.advance(apart);
+        net.input(1, Input::Meet(0));
+        net.advance(5 * SECOND);
         assert_eq!((net.linked, net.open.len()), ([true; 2], 2), "seed {seed}");
-        net.say(50);
+        net.exchange_words(50);
         most = most.max(net.accepted);
     }
     assert!(most >= 2, "both dialled at once in some seed");
 }
 
 #[test]
-fn a_link_cut_one_way_or_both_is_told_at_both_ends_and_comes_back() {
+fn reports_a_cut_link_at_both_ends_and_recovers() {
     for seed in 0..60 {
         let mut net = Net::new(seed);
-        net.tell(0, Input::Meet(1));
-        net.tell(1, Input::Meet(0));
-        net.pass(5 * SECOND);
+        net.input(0, Input::Meet(1));
+        net.input(1, Input::Meet(0));
+        net.advance(5 * SECOND);
         net.cut = [seed % 3 != 0, seed % 3 != 1];
-        net.pass(12 * SECOND);
+        net.advance(12 * SECOND);
         assert_eq!(net.linked, [false; 2], "seed {seed}: Tw is 1 s");
         for node in 0..2 {
-            net.tell(node, Input::Word(1 - node, b"lost"));
+            net.input(node, Input::Word(1 - node, b"lost"));
         }
         net.cut = [false; 2];
-        net.pass(60 * SECOND);
+        net.advance(60 * SECOND);
         assert_eq!((net.linked, net.open.len()), ([true; 2], 2), "seed {seed}");
-        net.say(5);
+        net.exchange_words(5);
     }
 }
 
 #[test]
-fn what_control_costs_is_counted_to_the_byte_at_both_ends() {
+fn counts_control_traffic_exactly_at_both_ends() {
     for seed in 0..40 {
         let mut net = Net::new(seed);
         net.pieces = 1 + seed as usize % 3;
-        net.tell(0, Input::Meet(1));
+        net.input(0, Input::Meet(1));
         let apart = net.rng.random_range(0..60 * MS);
-        net.pass(apart);
-        net.tell(1, Input::Meet(0));
-        net.pass(5 * SECOND);
-        net.say(20);
-        net.pass(10 * SECOND);
-        net.tell(0, Input::Part(1));
-        net.tell(1, Input::Part(0));
-        net.pass(10 * SECOND);
+        net.advance(apart);
+        net.input(1, Input::Meet(0));
+        net.advance(5 * SECOND);
+        net.exchange_words(20);
+        net.advance(10 * SECOND);
+        net.input(0, Input::Part(1));
+        net.input(1, Input::Part(0));
+        net.advance(10 * SECOND);
         assert!(net.open.is_empty(), "seed {seed}");
         for node in 0..2 {
             let stats = net.nodes[node].stats();
             let sent = (stats.control_sent_messages, stats.control_sent_bytes);
             let came = (stats.control_received_messages, stats.control_received_bytes);
             assert_eq!((sent, came), (net.sent[node], net.came[node]), "seed {seed}, node {node}");
-            // Words and answers both ways, capabilities, watchdogs, an end.
+            // Messages and answers in both directions, capabilities, watchdogs, a disconnect.
             assert!(sent.0 >= 20 * 2 + 2 + 5, "seed {seed}: {} messages", sent.0);
         }
     }
 }
 
 #[test]
-fn clients_servers_and_strangers_are_no_cost_of_control() {
-    let (mut bench, _) = linked();
-    let before = bench.node.stats();
-    let (client, server) = (bench.client("front.example"), bench.server("a.example"));
-    bench.call(client, "s;1");
-    let attempt = bench.one(server, "AAR");
-    bench.answer(server, &attempt, code::SUCCESS);
-    let stranger = bench.conn();
-    bench.input(Input::Accepted(stranger));
-    let cer = bench.cer("n9.example", 1);
-    bench.bytes(stranger, &cer);
-    let after = bench.node.stats();
+fn counts_no_control_traffic_for_other_peers() {
+    let (mut harness, _) = linked();
+    let before = harness.node.stats();
+    let (client, server) = (harness.connect_client("front.example"), harness.connect_server("a.example"));
+    harness.call(client, "s;1");
+    let attempt = harness.expect_one(server, "AAR");
+    harness.answer(server, &attempt, code::SUCCESS);
+    let stranger = harness.new_conn();
+    harness.input(Input::Accepted(stranger));
+    let cer = harness.cer("n9.example", 1);
+    harness.bytes(stranger, &cer);
+    let after = harness.node.stats();
     let control = |it: lemoncleat_node::Stats| {
         (
             it.control_sent_messages,
