--- a/crates/lemoncleat-node/src/node/trunks.rs
+++ b/crates/lemoncleat-node/src/node/trunks.rs
@@ -401,7 +401,7 @@
             }
             CircuitEvent::Dispute(circuit) => {
                 let host = self.host(peer);
-                let text = format!("the two ends disagree on who controls circuit {circuit}");
+                let text = format!("who controls circuit {circuit} is not agreed");
                 self.notice(Notice::CircuitsDiffer(host, text));
             }
             CircuitEvent::Mended(circuit, difference) => {
--- a/crates/lemoncleat-node/src/notice.rs
+++ b/crates/lemoncleat-node/src/notice.rs
@@ -133,40 +133,40 @@
         match self {
             Notice::PeerUsable(host) => write!(f, "peer {host} is open"),
             Notice::PeerSuspect(host) => {
-                write!(f, "peer {host} did not answer a watchdog request: nothing new is sent to it")
+                write!(f, "peer {host} left a watchdog unanswered: nothing new is sent")
             }
             Notice::PeerDraining(host, cause) => write!(f, "peer {host} disconnects: {cause:?}"),
             Notice::PeerDown(host, reason) => write!(f, "peer {host} is down: {reason:?}"),
             Notice::PeerRefused(host, why) => write!(f, "no connection with peer {host}: {why}"),
-            Notice::PeerRestarted(host) => write!(f, "peer {host} restarted: its calls are cut"),
+            Notice::PeerRestarted(host) => write!(f, "peer {host} started anew: its calls are cut"),
             Notice::UnknownPeer(conn, host) => {
-                write!(f, "connection {}: {host:?} is not a known peer", conn.0)
+                write!(f, "connection {}: {host:?} is no known peer", conn.0)
             }
             Notice::MalformedStream(conn, error) => write!(f, "connection {}: {error}", conn.0),
-            Notice::NoCapabilities(conn) => write!(f, "connection {}: no CER received", conn.0),
+            Notice::NoCapabilities(conn) => write!(f, "connection {}: no CER came", conn.0),
             Notice::BadRequest(host, code, why) => write!(f, "request of {host} refused with {code}: {why}"),
             Notice::UnknownAnswer(host, id) => write!(f, "answer of {host} to an unknown request {id:#010x}"),
             Notice::BadAnswer(host, id) => {
-                write!(f, "answer of {host} to request {id:#010x} is invalid or not for its call: released")
+                write!(f, "answer of {host} to request {id:#010x} is malformed or another call's: released")
             }
             Notice::LateAnswer(host) => write!(f, "late success of {host}: released"),
             Notice::ListUpdated { ready, draining } => {
                 write!(f, "the list has {ready} servers, {draining} draining")
             }
-            Notice::ConnectionLimitReached(conn) => write!(f, "connection limit reached: {} closed", conn.0),
+            Notice::ConnectionLimitReached(conn) => write!(f, "connection {} closed: too many", conn.0),
             Notice::CallLimitReached(host) => write!(f, "call of {host} turned away: too many calls"),
-            Notice::QueueFull(host) => write!(f, "write queue toward {host} is full"),
+            Notice::QueueFull(host) => write!(f, "too much waits to be written to {host}"),
             Notice::WordTooLong(host, bytes) => {
                 write!(f, "word of {bytes} bytes for member {host} refused: too long")
             }
-            Notice::DeadlineGuard(call) => write!(f, "call {call} failed by the deadline guard"),
+            Notice::DeadlineGuard(call) => write!(f, "call {call} failed at its last moment"),
             Notice::AnswerWithheld { session, result, late } => {
                 let ms = *late as f64 / 1e3;
-                write!(f, "answer {result} of call {session} withheld: {ms:.1} ms past the deadline")
+                write!(f, "answer {result} of call {session} withheld: {ms:.1} ms too late for its caller")
             }
             Notice::LoopGap { time, set_ups, withheld } => write!(
                 f,
-                "event loop stalled for {} ms: {set_ups} set-ups arrived, {withheld} answers too late",
+                "no turn for {} ms: {set_ups} set-ups came meanwhile, {withheld} answers were too late",
                 time / 1_000
             ),
             Notice::CircuitsDiffer(host, how) => write!(f, "circuits toward {host} differ: {how}"),
