--- a/crates/lemoncleat-access/src/callers.rs
+++ b/crates/lemoncleat-access/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: who may hold one, what comes on it, when it is closed.
+//! Callers' connections: admission, received messages, and when a connection is closed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,49 +8,54 @@
 use crate::interface::{ConnId, Output};
 use crate::node::AccessNode;
 use crate::notice::Notice;
-use crate::timing::{BAD_MESSAGES, CROSSED, HOLDING_CALLER, IDLE_CALLER, SILENT_CALLER};
-
-/// Descriptors that are neither callers' nor servers': listener, journal service, notes, files, and connections
-/// that are being closed gently.
-pub(crate) const RESERVED: usize = 56;
-
-/// Why a connection is closed that may bring anything but the rest of a message.
-const UNFINISHED: &str = "a message without an end";
-/// Why one is closed that brings nothing any more.
-const IDLE: &str = "idle";
-/// Why one is closed whatever it may bring.
-const CONFLICT: &str = "two set-ups under one id";
-
-/// One connection.
+use crate::timing::{
+    CALLER_IDLE_TIMEOUT_US, CALLER_MESSAGE_TIMEOUT_US, CALLER_WITH_CALL_IDLE_TIMEOUT_US,
+    CROSSED_ANSWER_WINDOW_US, MAX_UNUSABLE_MESSAGES,
+};
+
+/// File descriptors kept free for other uses than connections to callers and servers: listener, journal
+/// service, messages between nodes, files, and connections that are being closed gracefully.
+pub(crate) const RESERVED_SOCKETS: usize = 56;
+
+/// Reason for closing a connection on which only the rest of a message can still be expected.
+const CLOSE_INCOMPLETE: &str = "a message stayed incomplete";
+/// Reason for closing a connection that has been unused for too long.
+const CLOSE_IDLE: &str = "idle";
+/// Reason for closing a connection regardless of unread bytes.
+const CLOSE_DUPLICATE_ID: &str = "two set-ups with the same id";
+
+/// A caller's connection.
 pub(crate) struct Caller {
     reader: Reader,
-    accepted: Micros,
-    /// When it last brought something of use.
-    pub(crate) useful: Option<Micros>,
-    /// When it last brought what only the caller of a call that stands could know: whoever sent that reads releases.
-    proven: Option<Micros>,
-    /// Since when a message lies there unfinished.
-    partial: Option<Micros>,
-    /// Set-ups without an answer that came on it.
+    accepted_at: Micros,
+    /// When the last useful message was received.
+    pub(crate) last_useful_at: Option<Micros>,
+    /// When a message was last received that only the caller of an established call could send: its sender
+    /// reads releases.
+    last_verified_at: Option<Micros>,
+    /// Since when an incomplete message has been buffered.
+    partial_since: Option<Micros>,
+    /// Number of unanswered set-ups received on it.
     pub(crate) open: u32,
-    /// When an answer by which a call stands was written to it last.
-    answered: Option<Micros>,
-    bad: u32,
-    /// Since when two of its set-ups bear one id: an answer to the second could be taken for the first one's.
-    conflict: Option<Micros>,
-    /// Its caller has ended its half of it.
-    pub(crate) leaving: bool,
-    /// It was to be closed and something waited there, which has not been read since.
-    spared: bool,
+    /// When an answer that establishes a call was last written to it.
+    last_answer_at: Option<Micros>,
+    unusable_messages: u32,
+    /// Since when two of its set-ups carry the same id: an answer to the second could be taken for the answer
+    /// to the first.
+    duplicate_id_since: Option<Micros>,
+    /// Whether the caller has ended its half of the connection.
+    pub(crate) half_closed: bool,
+    /// Whether it was selected for closing but had unread bytes, and nothing has been read from it since.
+    close_declined: bool,
 }
 
-/// All of them.
+/// All callers' connections.
 pub(crate) struct Callers {
     pub(crate) conns: BTreeMap<ConnId, Caller>,
-    /// Those that are closed unless something waits there to be read, and why: the driver says so before the
-    /// next [`Input::Timeout`](crate::Input::Timeout), and until then nothing of them is given up.
+    /// Connections that are closed unless they have unread bytes, and why: the driver reports unread bytes
+    /// before the next [`Input::Timeout`](crate::Input::Timeout), and until then nothing on them is given up.
     closing: BTreeMap<ConnId, (Caller, &'static str)>,
-    most: usize,
+    max_conns: usize,
 }
 
 impl Callers {
@@ -58,7 +63,7 @@
         Callers {
             conns: BTreeMap::new(),
             closing: BTreeMap::new(),
-            most: sockets.saturating_sub(RESERVED) * 6 / 10,
+            max_conns: sockets.saturating_sub(RESERVED_SOCKETS) * 6 / 10,
         }
     }
 
@@ -66,90 +71,98 @@
         self.conns.contains_key(&conn)
     }
 
-    /// Whether a release may be sent there: its caller has not ended its half.
+    /// Returns whether a release may be sent on the connection: its caller has not ended its half.
     pub(crate) fn takes_releases(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|caller| !caller.leaving)
+        self.conns.get(&conn).is_some_and(|caller| !caller.half_closed)
     }
 
-    /// Whether the caller has ended its half of it.
-    pub(crate) fn is_leaving(&self, conn: ConnId) -> bool {
-        self.conns.get(&conn).is_some_and(|caller| caller.leaving)
+    /// Returns whether the caller has ended its half of the connection.
+    pub(crate) fn is_half_closed(&self, conn: ConnId) -> bool {
+        self.conns.get(&conn).is_some_and(|caller| caller.half_closed)
     }
 
-    /// Whom to close for room: of those without an open set-up one whose caller is leaving, then one that has
-    /// brought nothing yet, the oldest first, then one that nobody has proven, then the one that has been
-    /// quiet longest. Last of all come those of which half a message was read, and those known to have
-    /// something to be read.
-    fn least(&self) -> Option<ConnId> {
-        let free = self.conns.iter().filter(|(_, caller)| caller.open == 0);
+    /// Returns the connection to close when room is needed. Only connections without an open set-up are
+    /// considered, in this order: those that the caller is closing, those without a useful message so far
+    /// (oldest first), those not verified by a call, and those unused for longest. Connections with a partly
+    /// read message and connections known to have unread bytes come last.
+    fn eviction_candidate(&self) -> Option<ConnId> {
+        let without_set_ups = self.conns.iter().filter(|(_, caller)| caller.open == 0);
         let rank = |caller: &Caller| {
-            let owed = (caller.spared, caller.partial.is_some() && !caller.leaving);
-            let since = caller.useful.unwrap_or(caller.accepted);
-            (owed, !caller.leaving, caller.useful.is_some(), caller.proven.is_some(), since)
+            let close_last = (caller.close_declined, caller.partial_since.is_some() && !caller.half_closed);
+            let since = caller.last_useful_at.unwrap_or(caller.accepted_at);
+            (
+                close_last,
+                !caller.half_closed,
+                caller.last_useful_at.is_some(),
+                caller.last_verified_at.is_some(),
+                since,
+            )
         };
-        free.min_by_key(|(_, caller)| rank(caller)).map(|(conn, _)| *conn)
+        without_set_ups.min_by_key(|(_, caller)| rank(caller)).map(|(conn, _)| *conn)
     }
 
-    /// The surest connection for a release, other than those: proven last, else of use last.
-    pub(crate) fn surest(&self, but: &[ConnId]) -> Option<ConnId> {
-        let sound = self
-            .conns
-            .iter()
-            .filter(|(conn, caller)| caller.useful.is_some() && !caller.leaving && !but.contains(conn));
-        sound.max_by_key(|(_, caller)| (caller.proven, caller.useful)).map(|(conn, _)| *conn)
+    /// Returns the best connection for a release, except those given: the one verified last, otherwise the
+    /// one used last.
+    pub(crate) fn best_for_release(&self, except: &[ConnId]) -> Option<ConnId> {
+        let usable = self.conns.iter().filter(|(conn, caller)| {
+            caller.last_useful_at.is_some() && !caller.half_closed && !except.contains(conn)
+        });
+        usable
+            .max_by_key(|(_, caller)| (caller.last_verified_at, caller.last_useful_at))
+            .map(|(conn, _)| *conn)
     }
 }
 
 impl AccessNode {
     pub(crate) fn caller_accepted(&mut self, conn: ConnId) {
-        // One more than is needed where some stayed that were to be closed: the table shrinks to its size
-        // again.
-        let over = (self.callers.conns.len() + 1).saturating_sub(self.callers.most).min(2);
-        for still in 0..over {
-            match self.callers.least() {
-                Some(least) => self.close_if_quiet(least, "room was needed"),
-                None if still > 0 => break,
+        // One more than needed if some connections that were selected for closing stayed open: the table
+        // shrinks back to its limit.
+        let excess = (self.callers.conns.len() + 1).saturating_sub(self.callers.max_conns).min(2);
+        for closed_so_far in 0..excess {
+            match self.callers.eviction_candidate() {
+                Some(candidate) => self.close_if_nothing_unread(candidate, "closed to make room"),
+                None if closed_so_far > 0 => break,
                 None => {
-                    self.notice(Notice::CallerClosed("there is no room"));
+                    self.notice(Notice::CallerClosed("connection limit reached"));
                     return self.out.push(Output::Close(conn));
                 }
             }
         }
-        self.keep_caller(conn);
+        self.add_caller(conn);
     }
 
-    /// A connection that was to be closed stays as it was: something waits there to be read.
-    pub(crate) fn caller_stays(&mut self, conn: ConnId) {
+    /// Keeps a connection that was selected for closing, because it has unread bytes.
+    pub(crate) fn keep_unread_caller(&mut self, conn: ConnId) {
         match self.callers.closing.remove(&conn) {
             Some((caller, _)) => {
-                self.callers.conns.insert(conn, Caller { spared: true, ..caller });
+                self.callers.conns.insert(conn, Caller { close_declined: true, ..caller });
             }
-            None => self.keep_caller(conn),
+            None => self.add_caller(conn),
         }
     }
 
-    /// Those that were to be closed and did not stay are closed.
-    pub(crate) fn callers_were_closed(&mut self) {
+    /// Completes the closing of the connections for which the driver reported no unread bytes.
+    pub(crate) fn complete_caller_closes(&mut self) {
         for (conn, (_, why)) in std::mem::take(&mut self.callers.closing) {
             self.notice(Notice::CallerClosed(why));
-            self.releases_unsent(conn);
+            self.resend_releases_of(conn);
         }
     }
 
-    /// Takes a connection into the table, as one that has brought nothing yet.
-    pub(crate) fn keep_caller(&mut self, conn: ConnId) {
+    /// Adds a connection to the table, as one without a useful message so far.
+    pub(crate) fn add_caller(&mut self, conn: ConnId) {
         let caller = Caller {
             reader: Reader::new(),
-            accepted: self.now,
-            useful: None,
-            proven: None,
-            partial: None,
+            accepted_at: self.now,
+            last_useful_at: None,
+            last_verified_at: None,
+            partial_since: None,
             open: 0,
-            answered: None,
-            bad: 0,
-            conflict: None,
-            leaving: false,
-            spared: false,
+            last_answer_at: None,
+            unusable_messages: 0,
+            duplicate_id_since: None,
+            half_closed: false,
+            close_declined: false,
         };
         self.callers.conns.insert(conn, caller);
     }
@@ -157,16 +170,17 @@
     pub(crate) fn caller_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
             caller.reader.push(bytes);
-            caller.spared = false;
+            caller.close_declined = false;
         }
         while let Some(caller) = self.callers.conns.get_mut(&conn) {
             match caller.reader.next_message() {
                 Ok(Some(message)) => {
-                    caller.partial = None;
+                    caller.partial_since = None;
                     self.caller_message(conn, message);
                 }
                 Ok(None) => {
-                    caller.partial = caller.reader.is_partial().then(|| caller.partial.unwrap_or(self.now));
+                    caller.partial_since =
+                        caller.reader.is_partial().then(|| caller.partial_since.unwrap_or(self.now));
                     return;
                 }
                 Err(malformed) => return self.caller_malformed(conn, &malformed),
@@ -174,13 +188,13 @@
         }
     }
 
-    /// What can't be read is answered as far as there is something to answer to, and the connection closed.
+    /// Answers a malformed message, as far as there is something to answer to, and closes the connection.
     fn caller_malformed(&mut self, conn: ConnId, malformed: &Malformed) {
-        self.stats.bad_callers += 1;
+        self.stats.bad_caller_messages += 1;
         let code = if malformed.fault == lemoncleat_sip::Fault::TooLong { 413 } else { 400 };
-        let asked =
+        let request =
             malformed.head.as_deref().filter(|head| !matches!(head.method(), None | Some(Method::Ack)));
-        let answer = match asked {
+        let answer = match request {
             Some(head) if !self.is_open(head) => response(code, malformed.fault.as_str(), head).finish(b""),
             Some(_) => Vec::new(),
             None => lemoncleat_sip::refusal(code, malformed.fault.as_str()).finish(b""),
@@ -188,12 +202,13 @@
         if !answer.is_empty() {
             self.send(conn, answer);
         }
-        self.hang_up(conn, malformed.fault.as_str());
+        self.close_gracefully(conn, malformed.fault.as_str());
     }
 
-    /// Whether a message bears the id of a call that is held here: an answer to it could be taken for the call's.
+    /// Returns whether a message carries the id of an open call: an answer to it could be taken for the
+    /// call's answer.
     fn is_open(&self, message: &Message) -> bool {
-        crate::invite::id(message)
+        crate::invite::call_id(message)
             .is_some_and(|(_, number)| self.calls.contains_key(&lemoncleat::CallId(number)))
     }
 
@@ -207,78 +222,78 @@
                 Method::Options => {
                     let (code, phrase) =
                         if self.stopping.is_some() { (503, "Service Unavailable") } else { (200, "OK") };
-                    self.caller_useful(conn);
+                    self.mark_caller_useful(conn);
                     self.send(conn, response(code, phrase, &message).finish(b""));
                 }
-                Method::Notify => self.unusable(conn, &message, 489, "Bad Event"),
-                Method::Other(_) => self.unusable(conn, &message, 501, "Not Implemented"),
+                Method::Notify => self.refuse_unusable(conn, &message, 489, "Bad Event"),
+                Method::Other(_) => self.refuse_unusable(conn, &message, 501, "Not Implemented"),
             },
-            Start::Response { .. } => self.release_heard(conn, &message),
+            Start::Response { .. } => self.caller_response(conn, &message),
         }
     }
 
-    /// Refuses a message that is no use, and closes a connection that brings many of them.
-    pub(crate) fn unusable(&mut self, conn: ConnId, message: &Message, code: u16, phrase: &str) {
-        self.stats.bad_callers += 1;
+    /// Refuses an unusable message, and closes a connection that sends many of them.
+    pub(crate) fn refuse_unusable(&mut self, conn: ConnId, message: &Message, code: u16, phrase: &str) {
+        self.stats.bad_caller_messages += 1;
         self.send(conn, response(code, phrase, message).finish(b""));
         let Some(caller) = self.callers.conns.get_mut(&conn) else { return };
-        caller.bad += 1;
-        if caller.bad >= BAD_MESSAGES && caller.open == 0 {
-            self.hang_up(conn, "too many messages that are no use");
+        caller.unusable_messages += 1;
+        if caller.unusable_messages >= MAX_UNUSABLE_MESSAGES && caller.open == 0 {
+            self.close_gracefully(conn, "too many messages that are no use");
         }
     }
 
-    /// A connection brought a second set-up under the id of one of its own. Nothing can be answered to it
-    /// that would not be taken for the first one's answer, so its refusal is the end of the connection: once
-    /// nothing is open there, so that the first is not disturbed, but within its time.
-    pub(crate) fn caller_conflict(&mut self, conn: ConnId) {
-        self.stats.bad_callers += 1;
+    /// Records that a connection sent a second set-up with the id of one of its own. An answer to it could
+    /// not be told from the answer to the first, so the refusal consists of closing the connection: once no
+    /// set-up is open on it, so that the first is not disturbed, but within the time limit.
+    pub(crate) fn caller_reused_id(&mut self, conn: ConnId) {
+        self.stats.bad_caller_messages += 1;
         let now = self.now;
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
-            caller.conflict.get_or_insert(now);
+            caller.duplicate_id_since.get_or_insert(now);
         }
     }
 
-    pub(crate) fn caller_useful(&mut self, conn: ConnId) {
+    pub(crate) fn mark_caller_useful(&mut self, conn: ConnId) {
         let now = self.now;
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
-            (caller.useful, caller.bad) = (Some(now), 0);
-            if !caller.leaving {
-                self.send_releases(conn);
+            (caller.last_useful_at, caller.unusable_messages) = (Some(now), 0);
+            if !caller.half_closed {
+                self.send_pending_releases(conn);
             }
         }
     }
 
-    /// A call stands by what was just written to a connection.
-    pub(crate) fn caller_answered(&mut self, conn: ConnId) {
+    /// Records that an answer that establishes a call was written to a connection.
+    pub(crate) fn mark_caller_answered(&mut self, conn: ConnId) {
         let now = self.now;
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
-            caller.answered = Some(now);
+            caller.last_answer_at = Some(now);
         }
     }
 
-    /// A connection brought what only the caller of a call that stands could know.
-    pub(crate) fn caller_proven(&mut self, conn: ConnId) {
+    /// Records a message that only the caller of an established call could send.
+    pub(crate) fn mark_caller_verified(&mut self, conn: ConnId) {
         let now = self.now;
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
-            caller.proven = Some(now);
+            caller.last_verified_at = Some(now);
         }
     }
 
-    /// A caller has ended its half of a connection: the set-ups open on it are given up, and none is begun
-    /// that comes on it from now on.
-    pub(crate) fn caller_leaving(&mut self, conn: ConnId) {
+    /// Handles the end of a caller's half of a connection: its open set-ups are given up, and no set-up that
+    /// is read from it afterwards is started.
+    pub(crate) fn caller_half_closed(&mut self, conn: ConnId) {
         match self.callers.conns.get_mut(&conn) {
-            Some(caller) if !caller.leaving => caller.leaving = true,
+            Some(caller) if !caller.half_closed => caller.half_closed = true,
             _ => return,
         }
-        self.give_up_open(conn);
-        self.releases_unsent(conn);
+        self.give_up_open_calls(conn);
+        self.resend_releases_of(conn);
     }
 
-    /// Gives the set-ups open on a connection up, and refuses them there: its other side may still read.
-    fn give_up_open(&mut self, conn: ConnId) {
-        for id in self.open_on(conn) {
+    /// Gives up the set-ups open on a connection, and refuses them there: the other side may still read.
+    fn give_up_open_calls(&mut self, conn: ConnId) {
+        for id in self.open_calls_on(conn) {
             let Some(call) = self.calls.get(&id) else { continue };
             let refused = response(480, "Temporarily Unavailable", &call.request).finish(b"");
             self.caller_gone(id);
@@ -286,83 +301,90 @@
         }
     }
 
-    fn open_on(&self, conn: ConnId) -> Vec<lemoncleat::CallId> {
+    fn open_calls_on(&self, conn: ConnId) -> Vec<lemoncleat::CallId> {
         self.calls.iter().filter(|(_, call)| call.conn == conn).map(|(id, _)| *id).collect()
     }
 
-    /// A connection that its caller closed: the set-ups open on it are given up.
+    /// Handles a connection closed by its caller: its open set-ups are given up.
     pub(crate) fn caller_closed(&mut self, conn: ConnId) {
         let Some(caller) = self.callers.conns.remove(&conn) else { return };
-        for id in self.open_on(conn) {
+        for id in self.open_calls_on(conn) {
             self.caller_gone(id);
         }
-        self.releases_unsent(conn);
-        if caller.answered.is_some_and(|at| self.now - at <= CROSSED) {
+        self.resend_releases_of(conn);
+        if caller.last_answer_at.is_some_and(|at| self.now - at <= CROSSED_ANSWER_WINDOW_US) {
             self.release_unread(conn);
         }
     }
 
-    /// Closes a connection on which no set-up is open, unless something waits there to be read.
-    fn close_if_quiet(&mut self, conn: ConnId, why: &'static str) {
+    /// Closes a connection without open set-ups, unless it has unread bytes.
+    fn close_if_nothing_unread(&mut self, conn: ConnId, why: &'static str) {
         if let Some(caller) = self.callers.conns.remove(&conn) {
             self.callers.closing.insert(conn, (caller, why));
             self.out.push(Output::CloseIfQuiet(conn));
         }
     }
 
-    /// Closes a connection that can't be trusted; the set-ups open on it are refused first.
-    fn hang_up(&mut self, conn: ConnId, why: &'static str) {
-        self.give_up_open(conn);
+    /// Closes a connection after a protocol violation; its open set-ups are refused first.
+    fn close_gracefully(&mut self, conn: ConnId, why: &'static str) {
+        self.give_up_open_calls(conn);
         if self.callers.conns.remove(&conn).is_some() {
             self.out.push(Output::HangUp(conn));
             self.notice(Notice::CallerClosed(why));
-            self.releases_unsent(conn);
+            self.resend_releases_of(conn);
         }
     }
 
-    pub(crate) fn sweep_callers(&mut self) {
+    pub(crate) fn maintain_callers(&mut self) {
         let now = self.now;
         let mut close = Vec::new();
         for (&conn, caller) in &self.callers.conns {
-            let conflict = caller.conflict.is_some_and(|at| caller.open == 0 || now - at > SILENT_CALLER);
-            if conflict {
-                close.push((conn, CONFLICT));
+            let duplicate_id = caller
+                .duplicate_id_since
+                .is_some_and(|at| caller.open == 0 || now - at > CALLER_MESSAGE_TIMEOUT_US);
+            if duplicate_id {
+                close.push((conn, CLOSE_DUPLICATE_ID));
             } else if caller.open > 0 {
                 continue;
-            } else if let Some(since) = caller.partial {
-                if now - since > SILENT_CALLER {
-                    close.push((conn, UNFINISHED));
+            } else if let Some(since) = caller.partial_since {
+                if now - since > CALLER_MESSAGE_TIMEOUT_US {
+                    close.push((conn, CLOSE_INCOMPLETE));
                 }
-            } else if caller.useful.is_none() && now - caller.accepted > SILENT_CALLER {
-                close.push((conn, "nothing of use came"));
-            } else if caller.useful.is_some_and(|at| now - at > IDLE_CALLER) {
-                close.push((conn, IDLE));
+            } else if caller.last_useful_at.is_none() && now - caller.accepted_at > CALLER_MESSAGE_TIMEOUT_US
+            {
+                close.push((conn, "nothing useful received"));
+            } else if caller.last_useful_at.is_some_and(|at| now - at > CALLER_IDLE_TIMEOUT_US) {
+                close.push((conn, CLOSE_IDLE));
             }
         }
-        // Where a call stands that was acknowledged, its release is owed: that connection is kept for longer.
-        if close.iter().any(|(_, why)| *why == IDLE) {
-            let stand = self.standing.values().filter(|standing| standing.acked);
-            let held: BTreeSet<_> = stand.map(|standing| standing.caller).collect();
-            let long = |conn: &ConnId| {
-                let used = self.callers.conns.get(conn).and_then(|caller| caller.useful);
-                used.is_some_and(|at| now - at > HOLDING_CALLER)
+        // The release of an acknowledged call will be sent to its caller, so its connection is kept for
+        // longer.
+        if close.iter().any(|(_, why)| *why == CLOSE_IDLE) {
+            let acknowledged = self.standing.values().filter(|standing| standing.acked);
+            let with_calls: BTreeSet<_> = acknowledged.map(|standing| standing.caller).collect();
+            let idle_too_long = |conn: &ConnId| {
+                let used = self.callers.conns.get(conn).and_then(|caller| caller.last_useful_at);
+                used.is_some_and(|at| now - at > CALLER_WITH_CALL_IDLE_TIMEOUT_US)
             };
-            close.retain(|(conn, why)| *why != IDLE || !held.contains(conn) || long(conn));
+            close.retain(|(conn, why)| {
+                *why != CLOSE_IDLE || !with_calls.contains(conn) || idle_too_long(conn)
+            });
         }
-        // Where descriptors ran out nobody is accepted, and room has to be made here.
-        for _ in 0..self.callers.conns.len().saturating_sub(self.callers.most) {
-            let Some(least) = self.callers.least() else { break };
-            self.close_if_quiet(least, "room was needed");
+        // When file descriptors have run out no connection is accepted, so room has to be made here.
+        for _ in 0..self.callers.conns.len().saturating_sub(self.callers.max_conns) {
+            let Some(candidate) = self.callers.eviction_candidate() else { break };
+            self.close_if_nothing_unread(candidate, "closed to make room");
         }
         for (conn, why) in close {
-            // What a node short of processor time has not read yet may be a set-up, or the rest of one. A
-            // message that comes byte by byte does not hold its connection by that.
-            let trickles = self.callers.conns.get(&conn).and_then(|caller| caller.partial);
-            let over = trickles.is_some_and(|since| now - since > SILENT_CALLER + SILENT_CALLER / 4);
-            if over || why == CONFLICT {
-                self.hang_up(conn, why);
+            // If the node lacks processor time, unread bytes may be a set-up or the rest of one. A message
+            // that arrives byte by byte does not keep its connection open.
+            let incomplete_since = self.callers.conns.get(&conn).and_then(|caller| caller.partial_since);
+            let expired = incomplete_since
+                .is_some_and(|since| now - since > CALLER_MESSAGE_TIMEOUT_US + CALLER_MESSAGE_TIMEOUT_US / 4);
+            if expired || why == CLOSE_DUPLICATE_ID {
+                self.close_gracefully(conn, why);
             } else {
-                self.close_if_quiet(conn, why);
+                self.close_if_nothing_unread(conn, why);
             }
         }
     }
--- a/crates/lemoncleat-access/src/calls.rs
+++ b/crates/lemoncleat-access/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: set-ups of callers, attempts at call servers, and calls that stand.
+//! Calls: callers' set-ups, attempts at call servers, and established calls.
 
 use lemoncleat::{Call as NewCall, CallId, Event, Outcome, Reason, Report, ServerId};
 use lemoncleat_core::{Deadline, Micros, TimerKey};
@@ -8,117 +8,120 @@
 use crate::invite::{self, Invite};
 use crate::node::{AccessNode, Timer};
 use crate::notice::Notice;
-use crate::timing::{ANSWER_MARGIN, CROSSED};
+use crate::timing::{ANSWER_MARGIN_US, CROSSED_ANSWER_WINDOW_US};
 
-/// A set-up without an answer.
+/// An unanswered set-up.
 pub(crate) struct Call {
-    /// As the caller sent it.
+    /// The INVITE as received from the caller.
     pub(crate) request: Message,
     pub(crate) id: String,
     pub(crate) called: String,
-    /// Where it came.
+    /// The connection on which it was received.
     pub(crate) conn: ConnId,
     pub(crate) deadline: Deadline,
-    guard: TimerKey,
-    /// The attempt that is out.
+    deadline_timer: TimerKey,
+    /// The current attempt.
     pub(crate) attempt: Option<Attempt>,
-    /// How many there were.
+    /// Number of attempts so far.
     pub(crate) attempts: u32,
-    /// Connections on which one was given up without an answer.
-    pub(crate) spent: Vec<ConnId>,
-    /// Earlier attempts that were answered with a call after they were given up, while a further one was out at the
-    /// same server: where, and on which connection. They are released once that one has failed, for a release
-    /// before would be taken for its.
+    /// Connections that must not carry a further attempt of this call, because an attempt on them was
+    /// answered or given up.
+    pub(crate) used_conns: Vec<ConnId>,
+    /// Earlier attempts that were answered with 200 after they had been given up, while a further attempt was
+    /// open at the same server: the server and the connection. They are released once the further attempt has
+    /// failed, because a release sent earlier would be taken to mean that attempt.
     pub(crate) superseded: Vec<(ServerId, ConnId)>,
 }
 
-/// An attempt that is out.
+/// An attempt in progress.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) number: u32,
     pub(crate) server: ServerId,
-    pub(crate) sent: Micros,
-    pub(crate) carrier: Carrier,
-    ends: Micros,
+    pub(crate) sent_at: Micros,
+    pub(crate) path: AttemptPath,
+    expires_at: Micros,
     timer: TimerKey,
 }
 
-/// What an attempt is on.
+/// What carries an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Carrier {
-    /// A connection that is not up yet: nothing was sent.
+pub(crate) enum AttemptPath {
+    /// A connection that is still being dialled; nothing was sent.
     Dial(DialId),
-    /// A connection: it was written there.
+    /// A connection on which the INVITE was written.
     Conn(ConnId),
 }
 
 impl Attempt {
-    /// What giving it up proves: on a connection that is not up yet nothing was sent.
-    fn given_up_as(&self, outcome: Outcome) -> Outcome {
-        match self.carrier {
-            Carrier::Dial(_) => Outcome::Unreachable,
-            Carrier::Conn(_) => outcome,
+    /// Returns the outcome of giving the attempt up: nothing was sent on a connection that is not established
+    /// yet.
+    fn outcome_when_given_up(&self, outcome: Outcome) -> Outcome {
+        match self.path {
+            AttemptPath::Dial(_) => Outcome::Unreachable,
+            AttemptPath::Conn(_) => outcome,
         }
     }
 }
 
-/// A call that stands.
-pub(crate) struct Standing {
+/// An established call.
+pub(crate) struct StandingCall {
     pub(crate) id: String,
     pub(crate) called: String,
     pub(crate) server: ServerId,
-    /// The server's connection of its set-up, while there is one.
+    /// The connection on which it was set up at the server, while that is open.
     pub(crate) server_conn: Option<ConnId>,
-    /// The caller's connection of its set-up.
+    /// The connection on which its caller set it up.
     pub(crate) caller: ConnId,
     pub(crate) attempt: u32,
-    pub(crate) sent: Micros,
-    pub(crate) since: Micros,
+    pub(crate) sent_at: Micros,
+    pub(crate) established_at: Micros,
     pub(crate) acked: bool,
 }
 
 impl AccessNode {
-    // ---- From callers ----
+    // ---- Messages from callers ----
 
     pub(crate) fn invite(&mut self, conn: ConnId, message: Message) {
-        let invite = match invite::read(&message, &self.classes) {
+        let invite = match invite::parse(&message, &self.classes) {
             Ok(invite) => invite,
-            Err(_) if self.is_owner(conn, &message) => return self.caller_conflict(conn),
-            Err(phrase) => return self.unusable(conn, &message, 400, phrase),
+            Err(_) if self.owns_call(conn, &message) => return self.caller_reused_id(conn),
+            Err(phrase) => return self.refuse_unusable(conn, &message, 400, phrase),
         };
         let id = CallId(invite.number);
-        if invite.at.is_some() {
-            self.caller_useful(conn);
-            return self.take_up(conn, invite);
+        if invite.standing_at.is_some() {
+            self.mark_caller_useful(conn);
+            return self.take_over_standing(conn, invite);
         }
         if self.calls.get(&id).is_some_and(|call| call.conn == conn && call.request == message) {
-            // A retransmission is absorbed (RFC 3261 section 17.2.1): the first one's answer is the answer.
+            // A retransmission is absorbed (RFC 3261 section 17.2.1): the answer to the first copy answers it
+            // too.
             return self.trace_id(id, "the same INVITE again on its connection: absorbed");
         }
-        if self.is_owner(conn, &message) {
-            return self.caller_conflict(conn);
+        if self.owns_call(conn, &message) {
+            return self.caller_reused_id(conn);
         }
-        let over = self.releases.is_over(id);
-        if self.calls.contains_key(&id) || self.standing.contains_key(&id) || over {
-            return self.unusable(conn, &message, 482, "Loop Detected");
+        let has_ended = self.releases.has_ended(id);
+        if self.calls.contains_key(&id) || self.standing.contains_key(&id) || has_ended {
+            return self.refuse_unusable(conn, &message, 482, "Loop Detected");
         }
-        self.caller_useful(conn);
+        self.mark_caller_useful(conn);
         self.stats.calls += 1;
         if self.releases.was_withdrawn(id) {
-            // The CANCEL was read before it.
-            self.stats.gone += 1;
+            // The CANCEL was read before the INVITE.
+            self.stats.given_up += 1;
             return self.send(conn, response(487, "Request Terminated", &message).finish(b""));
         }
-        if self.callers.is_leaving(conn) {
-            // Nobody waits for it any more.
-            self.stats.gone += 1;
+        if self.callers.is_half_closed(conn) {
+            // The caller no longer waits for an answer.
+            self.stats.given_up += 1;
             return self.send(conn, response(480, "Temporarily Unavailable", &message).finish(b""));
         }
-        if self.calls.len() >= self.most_open {
-            return self.refuse_unheld(conn, &message);
+        if self.calls.len() >= self.max_open_calls {
+            return self.refuse_for_capacity(conn, &message);
         }
-        let deadline = Deadline::new(self.came, invite.patience, ANSWER_MARGIN);
-        let guard = self.wheel.set(deadline.last_moment(), Timer::Guard(id));
+        let deadline = Deadline::new(self.received_at, invite.patience, ANSWER_MARGIN_US);
+        let deadline_timer = self.wheel.set(deadline.last_moment(), Timer::CallDeadline(id));
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
             caller.open += 1;
         }
@@ -128,10 +131,10 @@
             called: invite.called,
             conn,
             deadline,
-            guard,
+            deadline_timer,
             attempt: None,
             attempts: 0,
-            spent: Vec::new(),
+            used_conns: Vec::new(),
             superseded: Vec::new(),
         };
         self.trace(&call.id, || {
@@ -139,7 +142,7 @@
             format!("set-up of class {class} for {patience} ms, first choice place {place}")
         });
         self.calls.insert(id, call);
-        self.tell(Event::Call(NewCall {
+        self.queue_event(Event::Call(NewCall {
             id,
             class: invite.class,
             patience: deadline.answer_by() - self.now,
@@ -148,19 +151,20 @@
             advised: invite.advised,
             in_transit: false,
             redialled: false,
-            cut: invite.again,
+            cut: invite.cut_before,
         }));
     }
 
-    /// Whether a message bears the id of a call whose answer was or will be given on this connection.
-    fn is_owner(&self, conn: ConnId, message: &Message) -> bool {
-        let Some(id) = invite::id(message).map(|(_, number)| CallId(number)) else { return false };
+    /// Returns whether a message carries the id of a call whose answer was or will be sent on this
+    /// connection.
+    fn owns_call(&self, conn: ConnId, message: &Message) -> bool {
+        let Some(id) = invite::call_id(message).map(|(_, number)| CallId(number)) else { return false };
         self.calls.get(&id).is_some_and(|call| call.conn == conn)
             || self.standing.get(&id).is_some_and(|standing| standing.caller == conn)
     }
 
-    /// A call that stands already at a server: taken up without a word to anybody.
-    fn take_up(&mut self, conn: ConnId, invite: Invite) {
+    /// Takes over a call that is already established at a server; nothing is sent to either side.
+    fn take_over_standing(&mut self, conn: ConnId, invite: Invite) {
         let id = CallId(invite.number);
         if self.calls.contains_key(&id) {
             return;
@@ -169,146 +173,150 @@
             standing.caller = conn;
             return;
         }
-        let server = invite.at.as_deref().and_then(|name| self.servers.named(name));
-        let known = self.releases.cause_known(id);
-        let gone = server.is_none_or(|server| !self.servers.can_be_heard(server));
+        let server = invite.standing_at.as_deref().and_then(|name| self.servers.named(name));
+        let known = self.releases.known_cause(id);
+        let gone = server.is_none_or(|server| !self.servers.may_still_report(server));
         if let (Some(cause), _) | (None, Some(cause)) = (known, gone.then_some(41)) {
-            // It is over, or nobody could tell when it is.
-            self.trace(&invite.id, || format!("stands no more, cause {cause}"));
+            // The call has ended, or no message about its end could ever arrive.
+            self.trace(&invite.id, || format!("has ended, cause {cause}"));
             if let Some(server) = server {
                 self.release_at_server(server, &invite.id, &invite.called, 16, None);
             }
             return self.release_to_caller(id, invite.id, invite.called, cause, conn);
         }
         let Some(server) = server else { return };
-        if self.standing.len() >= self.most_standing {
-            // Anybody may name calls that never were: those that are held come first.
-            self.stats.bad_callers += 1;
-            return self.trace(&invite.id, || "not taken up: there is no room".to_owned());
+        if self.standing.len() >= self.max_standing_calls {
+            // Callers may name calls that never existed, so calls that are known take precedence.
+            self.stats.bad_caller_messages += 1;
+            return self.trace(&invite.id, || "not taken up: limit of standing calls reached".to_owned());
         }
         self.trace(&invite.id, || "taken up as standing".to_owned());
-        let standing = Standing {
+        let standing = StandingCall {
             id: invite.id,
             called: invite.called,
             server,
             server_conn: None,
             caller: conn,
             attempt: 0,
-            sent: self.now,
-            since: self.now,
+            sent_at: self.now,
+            established_at: self.now,
             acked: true,
         };
-        self.stand(id, standing);
+        self.add_standing(id, standing);
     }
 
     pub(crate) fn caller_acked(&mut self, conn: ConnId, message: &Message) {
-        if let Some((_, number)) = invite::id(message) {
+        if let Some((_, number)) = invite::call_id(message) {
             if let Some(standing) = self.standing.get_mut(&CallId(number)) {
                 standing.acked = true;
-                self.caller_proven(conn);
+                self.mark_caller_verified(conn);
             }
         }
     }
 
     pub(crate) fn caller_cancels(&mut self, conn: ConnId, message: &Message) {
-        let Some((_, number)) = invite::id(message) else {
-            return self.unusable(conn, message, 400, "Bad Call-ID");
+        let Some((_, number)) = invite::call_id(message) else {
+            return self.refuse_unusable(conn, message, 400, "Bad Call-ID");
         };
         let id = CallId(number);
         if self.calls.contains_key(&id) {
-            self.caller_useful(conn);
+            self.mark_caller_useful(conn);
             self.send(conn, response(200, "OK", message).finish(b""));
-            self.terminated(id);
+            self.terminate_set_up(id);
         } else if self.standing.get(&id).is_some_and(|standing| !standing.acked) {
-            self.caller_useful(conn);
+            self.mark_caller_useful(conn);
             self.send(conn, response(200, "OK", message).finish(b""));
-            self.crossed_answer(id);
+            self.release_crossed_call(id);
         } else {
             let now = self.now;
-            self.releases.withdraw(now, id);
-            self.unusable(conn, message, 481, "Call/Transaction Does Not Exist");
+            self.releases.record_withdrawal(now, id);
+            self.refuse_unusable(conn, message, 481, "Call/Transaction Does Not Exist");
         }
     }
 
-    /// A caller releases its call.
+    /// Handles a BYE from a caller.
     pub(crate) fn caller_releases(&mut self, conn: ConnId, message: &Message) {
-        let Some((_, number)) = invite::id(message) else {
-            return self.unusable(conn, message, 400, "Bad Call-ID");
+        let Some((_, number)) = invite::call_id(message) else {
+            return self.refuse_unusable(conn, message, 400, "Bad Call-ID");
         };
         let (id, cause) = (CallId(number), cause_of(message));
         if self.standing.contains_key(&id) {
-            self.caller_proven(conn);
+            self.mark_caller_verified(conn);
             self.release_by_caller(id, cause);
         } else if self.calls.contains_key(&id) {
-            // Released before its answer: the INVITE is answered all the same (RFC 3261 section 15.1.2).
-            self.terminated(id);
-        } else if !self.releases.crossed(id) {
-            // It may be one that this process learns of later.
+            // Released before it was answered: the INVITE must be answered all the same (RFC 3261 section
+            // 15.1.2).
+            self.terminate_set_up(id);
+        } else if !self.releases.confirm_crossed(id) {
+            // This process may learn of the call later.
             let now = self.now;
-            self.releases.keep_told(now, id, cause);
-            self.releases.withdraw(now, id);
-            return self.unusable(conn, message, 481, "Call/Transaction Does Not Exist");
+            self.releases.record_unknown_from_caller(now, id, cause);
+            self.releases.record_withdrawal(now, id);
+            return self.refuse_unusable(conn, message, 481, "Call/Transaction Does Not Exist");
         }
-        self.caller_useful(conn);
+        self.mark_caller_useful(conn);
         self.send(conn, response(200, "OK", message).finish(b""));
     }
 
-    fn release_by_caller(&mut self, id: CallId, cause: u16) -> Option<Standing> {
+    fn release_by_caller(&mut self, id: CallId, cause: u16) -> Option<StandingCall> {
         let standing = self.end_standing(id, Outcome::Ok, Report::default())?;
         self.release_at_server(standing.server, &standing.id, &standing.called, cause, standing.server_conn);
         Some(standing)
     }
 
-    /// A caller's withdrawal, or its close, crossed the answer: nobody is there to speak. The call is
-    /// released on both sides, for the caller may have read the answer meanwhile.
-    fn crossed_answer(&mut self, id: CallId) {
+    /// Ends a call whose answer crossed its caller's CANCEL or close, so that no caller is on the line. The
+    /// call is released on both sides, because the caller may have read the answer in the meantime.
+    fn release_crossed_call(&mut self, id: CallId) {
         let Some(standing) = self.release_by_caller(id, 16) else { return };
-        self.trace_id(id, "given up as it was answered");
+        self.trace_id(id, "given up by its caller while it was answered");
         self.release_to_caller(id, standing.id, standing.called, 16, standing.caller);
     }
 
-    /// A connection was closed by its caller: what was answered there just before and not acknowledged, the
-    /// caller has not read. Any other call that stands belongs to no connection and goes on.
+    /// Ends the calls whose answers were sent on a connection just before its caller closed it and were not
+    /// acknowledged, because the caller has not read them. Other established calls are not tied to a
+    /// connection and continue.
     pub(crate) fn release_unread(&mut self, conn: ConnId) {
         let now = self.now;
         let unread = self.standing.iter().filter(|(_, standing)| {
-            standing.caller == conn && !standing.acked && now - standing.since <= CROSSED
+            standing.caller == conn
+                && !standing.acked
+                && now - standing.established_at <= CROSSED_ANSWER_WINDOW_US
         });
         for id in unread.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.crossed_answer(id);
+            self.release_crossed_call(id);
         }
     }
 
-    /// A caller withdrew its set-up: that is given up and answered so. A copy of its INVITE that is read
-    /// later, on another connection, is not begun.
-    fn terminated(&mut self, id: CallId) {
+    /// Handles the withdrawal of an open set-up: it is given up and answered with 487. A copy of its INVITE
+    /// that is read later, on another connection, is not started.
+    fn terminate_set_up(&mut self, id: CallId) {
         let Some(call) = self.calls.get(&id) else { return };
         let (conn, ended) = (call.conn, response(487, "Request Terminated", &call.request).finish(b""));
         let now = self.now;
-        self.releases.withdraw(now, id);
+        self.releases.record_withdrawal(now, id);
         self.caller_gone(id);
         self.send(conn, ended);
     }
 
-    /// A caller that waits no longer: its call is forgotten and what is out for it withdrawn.
+    /// Handles a caller that no longer waits: its call is removed and the attempt in progress is withdrawn.
     pub(crate) fn caller_gone(&mut self, id: CallId) {
-        self.withdraw(id);
-        if self.finish(id).is_some() {
-            self.stats.gone += 1;
+        self.withdraw_attempt(id);
+        if self.remove_call(id).is_some() {
+            self.stats.given_up += 1;
             self.trace_id(id, "given up by its caller");
-            self.tell(Event::CallerGone(id));
+            self.queue_event(Event::CallerGone(id));
         }
-        self.close_events();
+        self.queue_deferred_events();
     }
 
     // ---- Attempts ----
 
-    /// Starts an attempt.
-    pub(crate) fn attempt(&mut self, id: CallId, server: ServerId, timeout: Micros) {
+    /// Starts an attempt chosen by the module.
+    pub(crate) fn start_attempt(&mut self, id: CallId, server: ServerId, timeout: Micros) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else {
-            // The caller left a moment ago.
-            return self.tell(Event::Ended {
+            // The caller gave the call up after the module's decision.
+            return self.queue_event(Event::Ended {
                 call: id,
                 attempt: 0,
                 server,
@@ -322,36 +330,36 @@
         let number = call.attempts;
         call.attempts += 1;
         let last = call.deadline.answer_by();
-        let ends = if timeout > 0 { (now + timeout).min(last) } else { last };
-        let timer = self.wheel.set(ends, Timer::Attempt(id, number));
-        let carrier = self.carrier(server, id);
+        let expires_at = if timeout > 0 { (now + timeout).min(last) } else { last };
+        let timer = self.wheel.set(expires_at, Timer::Attempt(id, number));
+        let path = self.path_for_attempt(server, id);
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let to = carrier.unwrap_or(Carrier::Dial(DialId(u64::MAX)));
-        call.attempt = Some(Attempt { number, server, sent: now, carrier: to, ends, timer });
-        match carrier {
-            Some(Carrier::Conn(conn)) => self.write_invite(id, conn),
-            Some(Carrier::Dial(_)) => {}
+        let to = path.unwrap_or(AttemptPath::Dial(DialId(u64::MAX)));
+        call.attempt = Some(Attempt { number, server, sent_at: now, path: to, expires_at, timer });
+        match path {
+            Some(AttemptPath::Conn(conn)) => self.write_invite(id, conn),
+            Some(AttemptPath::Dial(_)) => {}
             None => {
                 self.end_attempt(id, Outcome::Unreachable, Reason::None, Report::default());
             }
         }
     }
 
-    /// Writes the INVITE of the attempt that is out.
+    /// Writes the INVITE of the current attempt.
     pub(crate) fn write_invite(&mut self, id: CallId, conn: ConnId) {
         let now = self.now;
         let Some(call) = self.calls.get_mut(&id) else { return };
         let Some(attempt) = &mut call.attempt else { return };
-        attempt.carrier = Carrier::Conn(conn);
-        let (server, number, waited) = (attempt.server, attempt.number, now - attempt.sent);
-        let wait = ((attempt.ends - now) / 1000).max(1);
+        attempt.path = AttemptPath::Conn(conn);
+        let (server, number, waited) = (attempt.server, attempt.number, now - attempt.sent_at);
+        let wait = ((attempt.expires_at - now) / 1000).max(1);
         let class = call.request.header("X-Cos").unwrap_or_default();
-        let bytes = dialog(Method::Invite, &self.name, &call.id, &call.called, number + 1)
+        let bytes = dialog_request(Method::Invite, &self.name, &call.id, &call.called, number + 1)
             .header("X-Cos", class)
             .header("X-Timer-Ms", wait)
             .finish(call.request.body());
         let trace = call.id.clone();
-        self.servers.opened(conn, id, now);
+        self.servers.set_up_sent(conn, id, now);
         self.stats.attempts += 1;
         self.out.push(Output::Invite(conn, id, bytes));
         self.trace(&trace, || {
@@ -360,189 +368,207 @@
         });
     }
 
-    /// Takes the attempt that is out off its call and its connection.
+    /// Removes the current attempt from its call and its connection.
     fn take_attempt(&mut self, id: CallId) -> Option<Attempt> {
         let attempt = self.calls.get_mut(&id)?.attempt.take()?;
         self.wheel.cancel(attempt.timer);
-        self.servers.unopened(attempt.carrier, id);
-        if let Carrier::Conn(conn) = attempt.carrier {
-            // However it ended: what still waits for a server that does not read is not to begin.
+        self.servers.set_up_closed(attempt.path, id);
+        if let AttemptPath::Conn(conn) = attempt.path {
+            // Whatever the outcome: an INVITE still queued for a server that does not read must not be sent.
             self.out.push(Output::Withdraw(conn, id, Vec::new()));
         }
         Some(attempt)
     }
 
-    /// The attempt that is out ended so. The call goes on waiting for its answer.
+    /// Ends the current attempt with this outcome. The call continues to wait for its answer.
     pub(crate) fn end_attempt(&mut self, id: CallId, outcome: Outcome, reason: Reason, report: Report) {
         let Some(attempt) = self.take_attempt(id) else { return };
         self.trace_id(id, &format!("attempt {} ended: {outcome:?}, {reason:?}", attempt.number));
-        self.tell(Event::Ended {
+        self.queue_event(Event::Ended {
             call: id,
             attempt: attempt.number,
             server: attempt.server,
             outcome,
-            lag: self.now - attempt.sent,
+            lag: self.now - attempt.sent_at,
             closed: false,
             reason,
             report,
         });
         self.release_superseded(id, attempt.server);
-        if let Carrier::Conn(conn) = attempt.carrier {
-            self.mind_server_conn(conn);
+        if let AttemptPath::Conn(conn) = attempt.path {
+            self.close_suspect_conn(conn);
         }
     }
 
-    /// The attempt that was out at a server came to nothing: what stands there of earlier ones is released, before
-    /// anything further is begun.
+    /// Releases earlier attempts of a call that are established at a server, after its attempt there has
+    /// failed and before a further one is started.
     fn release_superseded(&mut self, id: CallId, server: ServerId) {
         let Some(call) = self.calls.get_mut(&id) else { return };
-        let stand: Vec<_> = call.superseded.extract_if(.., |(at, _)| *at == server).collect();
-        let (text, called) = (call.id.clone(), call.called.clone());
-        for (_, conn) in stand {
+        let established: Vec<_> = call.superseded.extract_if(.., |(at, _)| *at == server).collect();
+        let (call_id, called) = (call.id.clone(), call.called.clone());
+        for (_, conn) in established {
             self.trace_id(id, "an earlier attempt was answered after it was given up: released");
-            self.release_at_server(server, &text, &called, 16, Some(conn));
+            self.release_at_server(server, &call_id, &called, 16, Some(conn));
         }
     }
 
-    /// Gives the attempt that is out up, on the wire too.
-    fn give_up(&mut self, id: CallId) -> Option<Attempt> {
+    /// Gives up the current attempt and sends a CANCEL for it.
+    fn give_up_attempt(&mut self, id: CallId) -> Option<Attempt> {
         let attempt = self.calls.get(&id)?.attempt?;
-        if let Carrier::Conn(conn) = attempt.carrier {
+        if let AttemptPath::Conn(conn) = attempt.path {
             let call = self.calls.get_mut(&id)?;
-            call.spent.push(conn);
+            call.used_conns.push(conn);
             let bytes =
-                dialog(Method::Cancel, &self.name, &call.id, &call.called, attempt.number + 1).finish(b"");
-            let (text, called) = (call.id.clone(), call.called.clone());
+                dialog_request(Method::Cancel, &self.name, &call.id, &call.called, attempt.number + 1)
+                    .finish(b"");
+            let (call_id, called) = (call.id.clone(), call.called.clone());
             self.out.push(Output::Withdraw(conn, id, bytes));
             let now = self.now;
             self.releases.abandon(now, id, attempt.server);
-            if self.servers.doubt(conn, attempt.sent, now) {
-                // Its answer may have been lost there: what may stand is released where it is sure to be read.
-                self.release_elsewhere(attempt.server, &text, &called, conn);
+            if self.servers.suspect_if_silent(conn, attempt.sent_at, now) {
+                // Its answer may have been lost with the connection: the call that may be established is
+                // released on a connection on which the server will read it.
+                self.release_elsewhere(attempt.server, &call_id, &called, conn);
             }
         }
         Some(attempt)
     }
 
-    /// An attempt of a call whose caller left is withdrawn; the module hears of its end after the caller's.
-    pub(crate) fn withdraw(&mut self, id: CallId) {
-        if self.give_up(id).is_none() {
+    /// Withdraws the current attempt of a call that its caller gave up; the module is told of its end after
+    /// the caller's.
+    pub(crate) fn withdraw_attempt(&mut self, id: CallId) {
+        if self.give_up_attempt(id).is_none() {
             return;
         }
         let Some(attempt) = self.take_attempt(id) else { return };
-        self.closing.push(Event::Ended {
+        self.deferred_events.push(Event::Ended {
             call: id,
             attempt: attempt.number,
             server: attempt.server,
             outcome: Outcome::Cancelled,
-            lag: self.now - attempt.sent,
+            lag: self.now - attempt.sent_at,
             closed: true,
             reason: Reason::None,
             report: Report::default(),
         });
         self.release_superseded(id, attempt.server);
-        if let Carrier::Conn(conn) = attempt.carrier {
-            self.mind_server_conn(conn);
+        if let AttemptPath::Conn(conn) = attempt.path {
+            self.close_suspect_conn(conn);
         }
     }
 
-    pub(crate) fn close_events(&mut self) {
-        for event in std::mem::take(&mut self.closing) {
-            self.tell(event);
+    pub(crate) fn queue_deferred_events(&mut self) {
+        for event in std::mem::take(&mut self.deferred_events) {
+            self.queue_event(event);
         }
     }
 
     pub(crate) fn cancel(&mut self, id: CallId, number: u32) {
         let out = self.calls.get(&id).and_then(|call| call.attempt);
         if let Some(attempt) = out.filter(|attempt| attempt.number == number) {
-            self.give_up(id);
-            self.end_attempt(id, attempt.given_up_as(Outcome::Cancelled), Reason::None, Report::default());
+            self.give_up_attempt(id);
+            self.end_attempt(
+                id,
+                attempt.outcome_when_given_up(Outcome::Cancelled),
+                Reason::None,
+                Report::default(),
+            );
         }
     }
 
-    pub(crate) fn attempt_late(&mut self, id: CallId, number: u32) {
+    pub(crate) fn attempt_timed_out(&mut self, id: CallId, number: u32) {
         let out = self.calls.get(&id).and_then(|call| call.attempt);
         let Some(attempt) = out.filter(|attempt| attempt.number == number) else { return };
-        self.give_up(id);
-        self.end_attempt(id, attempt.given_up_as(Outcome::TimedOut), Reason::None, Report::default());
+        self.give_up_attempt(id);
+        self.end_attempt(
+            id,
+            attempt.outcome_when_given_up(Outcome::TimedOut),
+            Reason::None,
+            Report::default(),
+        );
     }
 
-    // ---- From call servers ----
+    // ---- Answers from call servers ----
 
-    /// An attempt was answered: the call stands.
+    /// Handles a 200 answer to an attempt: the call is established.
     pub(crate) fn attempt_answered(&mut self, id: CallId, conn: ConnId, message: &Message) {
         let now = self.now;
         if self.calls.get(&id).is_some_and(|call| now > call.deadline.door()) {
-            return self.answered_late(id, conn);
+            return self.answered_after_deadline(id, conn);
         }
         let Some(attempt) = self.take_attempt(id) else { return };
-        self.tell(Event::Started {
+        self.queue_event(Event::Started {
             call: id,
             attempt: attempt.number,
             server: attempt.server,
-            lag: now - attempt.sent,
+            lag: now - attempt.sent_at,
         });
         let Some(call) = self.answer(id, 200, "OK", message.body()) else { return };
         self.stats.stood += 1;
-        self.caller_answered(call.conn);
-        let standing = Standing {
+        self.mark_caller_answered(call.conn);
+        let standing = StandingCall {
             id: call.id,
             called: call.called,
             server: attempt.server,
             server_conn: Some(conn),
             caller: call.conn,
             attempt: attempt.number,
-            sent: attempt.sent,
-            since: now,
+            sent_at: attempt.sent_at,
+            established_at: now,
             acked: false,
         };
-        self.stand(id, standing);
+        self.add_standing(id, standing);
     }
 
-    /// An attempt was answered, and its caller stops waiting before that could arrive: the turn came late,
-    /// and the guard has not acted yet. What stands at the server is released, and the call failed as the
-    /// guard does.
-    fn answered_late(&mut self, id: CallId, conn: ConnId) {
+    /// Handles an answer that arrives too late to reach its caller in time, before the deadline timer has
+    /// fired. The call at the server is released, and the call fails as it does on the deadline timer.
+    fn answered_after_deadline(&mut self, id: CallId, conn: ConnId) {
         let Some(attempt) = self.take_attempt(id) else { return };
         if let Some(call) = self.calls.get(&id) {
-            let (text, called) = (call.id.clone(), call.called.clone());
-            self.release_at_server(attempt.server, &text, &called, 16, Some(conn));
+            let (call_id, called) = (call.id.clone(), call.called.clone());
+            self.release_at_server(attempt.server, &call_id, &called, 16, Some(conn));
         }
-        self.trace_id(id, "answered when its caller waits no longer: released");
-        // Told as the end of the call: the module begins nothing on it.
-        self.tell(Event::Ended {
+        self.trace_id(id, "answered after its caller's deadline: released");
+        // Reported as the end of the call, so that the module starts no further attempt.
+        self.queue_event(Event::Ended {
             call: id,
             attempt: attempt.number,
             server: attempt.server,
             outcome: Outcome::TimedOut,
-            lag: self.now - attempt.sent,
+            lag: self.now - attempt.sent_at,
             closed: true,
             reason: Reason::None,
             report: Report::default(),
         });
-        self.guard(id);
+        self.fail_at_deadline(id);
     }
 
-    fn stand(&mut self, id: CallId, standing: Standing) {
-        self.servers.stands(standing.server, standing.server_conn, 1);
+    fn add_standing(&mut self, id: CallId, standing: StandingCall) {
+        self.servers.count_standing(standing.server, standing.server_conn, 1);
         self.standing.insert(id, standing);
     }
 
-    /// A call that stood is over; its sides are the caller's business.
-    pub(crate) fn end_standing(&mut self, id: CallId, outcome: Outcome, report: Report) -> Option<Standing> {
+    /// Removes an established call from the table; releasing both sides is up to the function that calls
+    /// this.
+    pub(crate) fn end_standing(
+        &mut self,
+        id: CallId,
+        outcome: Outcome,
+        report: Report,
+    ) -> Option<StandingCall> {
         let standing = self.standing.remove(&id)?;
-        self.servers.stands(standing.server, standing.server_conn, -1);
+        self.servers.count_standing(standing.server, standing.server_conn, -1);
         let now = self.now;
-        self.releases.keep_over(now, id, if outcome == Outcome::Ok { 16 } else { 41 });
+        self.releases.record_ended(now, id, if outcome == Outcome::Ok { 16 } else { 41 });
         if outcome != Outcome::Ok {
             self.stats.cut += 1;
         }
-        self.tell(Event::Ended {
+        self.queue_event(Event::Ended {
             call: id,
             attempt: standing.attempt,
             server: standing.server,
             outcome,
-            lag: self.now - standing.sent,
+            lag: self.now - standing.sent_at,
             closed: true,
             reason: Reason::None,
             report,
@@ -550,9 +576,13 @@
         Some(standing)
     }
 
-    /// Standing calls of a server that is no more are over. `begun` is a moment before which they must have begun.
-    pub(crate) fn lose_standing(&mut self, server: ServerId, begun: Micros, why: &'static str) {
-        let lost = self.standing.iter().filter(|(_, call)| call.server == server && call.since < begun);
+    /// Ends the established calls of a server that is lost, limited to those established before
+    /// `established_before`.
+    pub(crate) fn end_lost_calls(&mut self, server: ServerId, established_before: Micros, why: &'static str) {
+        let lost = self
+            .standing
+            .iter()
+            .filter(|(_, call)| call.server == server && call.established_at < established_before);
         let lost: Vec<_> = lost.map(|(id, _)| *id).collect();
         if lost.is_empty() {
             return;
@@ -568,14 +598,14 @@
 
     // ---- The tables ----
 
-    /// Takes a call out of the table of those that wait for an answer.
-    pub(crate) fn finish(&mut self, id: CallId) -> Option<Call> {
+    /// Removes a call from the table of unanswered calls.
+    pub(crate) fn remove_call(&mut self, id: CallId) -> Option<Call> {
         let call = self.calls.remove(&id)?;
-        self.wheel.cancel(call.guard);
+        self.wheel.cancel(call.deadline_timer);
         if let Some(caller) = self.callers.conns.get_mut(&call.conn) {
             caller.open = caller.open.saturating_sub(1);
-            // Its answer is still to be read there, and acknowledged.
-            caller.useful = Some(self.now);
+            // The caller still has to read and acknowledge the answer.
+            caller.last_useful_at = Some(self.now);
         }
         Some(call)
     }
@@ -591,8 +621,8 @@
     }
 }
 
-/// A request toward a call server or a caller, about one call.
-pub(crate) fn dialog(
+/// Builds a request to a call server or a caller about one call.
+pub(crate) fn dialog_request(
     method: Method,
     name: &str,
     id: &str,
@@ -610,7 +640,7 @@
         .header("CSeq", cseq)
 }
 
-/// The cause of a release (RFC 3326, Q.850); 16, normal clearing, where none is told.
+/// Returns the cause of a release (RFC 3326, Q.850), or 16, normal clearing, if none is given.
 pub(crate) fn cause_of(message: &Message) -> u16 {
     let reason = message.header("Reason").unwrap_or_default();
     let cause = reason.split([';', ' ', ',']).find_map(|part| part.trim().strip_prefix("cause="));
@@ -622,11 +652,17 @@
     use super::*;
 
     #[test]
-    fn giving_up_an_attempt_whose_connection_is_not_up_proves_that_nothing_ran() {
+    fn attempt_given_up_before_its_connection_is_established_is_unreachable() {
         let timer = lemoncleat_core::Wheel::new().set(0, ());
-        let (number, server, sent, ends) = (0, ServerId(0), 0, 0);
-        let on = |carrier| Attempt { number, server, sent, carrier, ends, timer };
-        assert_eq!(on(Carrier::Dial(DialId(1))).given_up_as(Outcome::Cancelled), Outcome::Unreachable);
-        assert_eq!(on(Carrier::Conn(ConnId(1))).given_up_as(Outcome::Cancelled), Outcome::Cancelled);
+        let (number, server, sent_at, expires_at) = (0, ServerId(0), 0, 0);
+        let attempt_on = |path| Attempt { number, server, sent_at, path, expires_at, timer };
+        assert_eq!(
+            attempt_on(AttemptPath::Dial(DialId(1))).outcome_when_given_up(Outcome::Cancelled),
+            Outcome::Unreachable
+        );
+        assert_eq!(
+            attempt_on(AttemptPath::Conn(ConnId(1))).outcome_when_given_up(Outcome::Cancelled),
+            Outcome::Cancelled
+        );
     }
 }
--- a/crates/lemoncleat-access/src/interface.rs
+++ b/crates/lemoncleat-access/src/interface.rs
@@ -1,4 +1,4 @@
-//! What crosses the border between core and driver.
+//! Inputs and outputs between the core and its driver.
 
 use std::net::SocketAddr;
 
@@ -7,119 +7,122 @@
 
 use crate::notice::Notice;
 
-/// A connection, as the driver names it. Never used twice.
+/// Identifier of a connection, assigned by the driver. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// A dial, as the core names it. Never used twice.
+/// Identifier of a dial, assigned by the core. Never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct DialId(pub u64);
 
-/// What the core is told.
+/// An event that the driver reports to the core.
 #[derive(Clone, Copy, Debug)]
 pub enum Input<'a> {
     /// A caller connected.
     Accepted(ConnId),
-    /// A connection that was to be closed if it was quiet is not: it stays as it was, with what was read of
-    /// it.
+    /// The answer to [`Output::CloseIfQuiet`]: the connection has unread bytes and was not closed. It stays
+    /// as it was, including the part of a message already read from it.
     NotQuiet(ConnId),
-    /// A dial came about.
+    /// A dial succeeded.
     Dialled(DialId, ConnId),
-    /// A dial failed; `refused` when the machine answered that nobody listens.
+    /// A dial failed.
     DialFailed {
-        /// Which dial.
+        /// The dial.
         dial: DialId,
-        /// The machine refused it, at once.
+        /// Whether the remote machine refused the connection because nothing listens there.
         refused: bool,
     },
-    /// A dial failed for want of something here, as of descriptors: it tells nothing of the other side.
+    /// A dial failed for a local reason, such as a lack of file descriptors; it says nothing about the other
+    /// side.
     NotDialled(DialId),
-    /// Bytes came.
+    /// Bytes were received.
     Bytes(ConnId, &'a [u8]),
-    /// Bytes came that may have waited to be read for as long as this, while the loop was at work.
+    /// Bytes were received that may have waited this long in the socket while the event loop was busy.
     Waited(ConnId, &'a [u8], Micros),
-    /// The far side has ended its half of the connection: a FIN or a reset was seen. Bytes that it sent
-    /// before may still be given, and [`Input::Closed`] follows at the end.
+    /// The other side has ended its half of the connection: a FIN or a reset was seen. Bytes that it sent
+    /// before may still follow, and [`Input::Closed`] follows at the end.
     ///
-    /// A caller is taken as gone by this, also one that only half-closed (RFC 9293 section 3.6) and may still
-    /// read: its open set-ups are given up at once, and none that comes on the connection afterwards is
-    /// begun. Each is answered 480, which a caller that still reads may take as a refusal. Whatever else it
-    /// sent before is heard, calls that stand go on standing, and releases take other connections.
+    /// A caller is considered gone from this point, even if it has only half-closed the connection (RFC 9293
+    /// section 3.6) and may still read: its open set-ups are given up at once, and no set-up that is read
+    /// from the connection afterwards is started. Each of them is answered with 480, which a caller that
+    /// still reads may take as a refusal. Anything else that it sent before is processed, established calls
+    /// continue, and releases use other connections.
     ///
-    /// Nothing for connections to call servers and the journal service, until they are closed: what was sent
-    /// before the end, answers and releases among it, is still to be read, and an attempt that ends then has
-    /// not been proven to have ended any sooner.
+    /// Has no effect on connections to call servers and the journal service until they are closed: answers
+    /// and releases that were sent before the end are still to be read, and an attempt that ends then has not
+    /// been shown to have ended earlier.
     Leaving(ConnId),
-    /// The other side closed, or the connection broke, and all that it sent before was given.
+    /// The other side closed the connection, or it broke, and everything received on it was passed on.
     ///
-    /// A caller's open set-ups are given up, and a call answered there in the last half second without an ACK
-    /// is released on both sides: the answer crossed the close. Other calls that stand belong to no
-    /// connection.
+    /// A caller's open set-ups are given up. A call that was answered on this connection within the last half
+    /// second and has not been acknowledged is released on both sides, because the answer crossed the close.
+    /// Other established calls are not tied to a connection.
     Closed(ConnId),
-    /// A note of another node.
+    /// A datagram arrived from this address.
     Datagram(SocketAddr, &'a [u8]),
-    /// A moment that [`AccessNode::wake`](crate::AccessNode::wake) named may have come.
+    /// The time returned by [`AccessNode::wake`](crate::AccessNode::wake) may have been reached.
     Timeout,
-    /// The configuration was read anew: the journal service is now there.
+    /// The configuration was reloaded: the journal service is now at this address.
     JournalAt(SocketAddr),
-    /// The node is to end in order.
+    /// The node is to shut down in an orderly way.
     Terminate,
 }
 
-/// What the core asks for.
+/// An operation that the core requests from the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Connect, and give it up after the time.
+    /// Connect to this address, with a time limit.
     Dial(DialId, SocketAddr, Micros),
-    /// Give a dial up.
+    /// Cancel a dial.
     StopDial(DialId),
-    /// Write bytes.
+    /// Write bytes to a connection.
     Send(ConnId, Vec<u8>),
-    /// Write the INVITE of a call's attempt. For as long as none of it has begun to leave, it can be taken back.
+    /// Write the INVITE of a call's attempt. Until its first byte has been sent, it can still be withdrawn.
     Invite(ConnId, CallId, Vec<u8>),
-    /// The attempt of a call on a connection is over: if nothing of its INVITE has begun to leave, that never goes
-    /// out. Else write these bytes, the CANCEL; there are none where none is owed.
+    /// The attempt of a call on a connection has ended. If no byte of its INVITE has been sent yet, the
+    /// INVITE must be discarded. Otherwise these bytes, the CANCEL, are to be written; they are empty if no
+    /// CANCEL is needed.
     Withdraw(ConnId, CallId, Vec<u8>),
-    /// Close once what was given is written.
+    /// Close the connection once all pending bytes are written.
     Close(ConnId),
-    /// Close at once, unless bytes wait there to be read; then say [`Input::NotQuiet`], before the next
-    /// [`Input::Timeout`], with which the connection counts as closed.
+    /// Close the connection at once, unless it has unread bytes. In that case the driver must report
+    /// [`Input::NotQuiet`] before the next [`Input::Timeout`], at which the connection counts as closed.
     CloseIfQuiet(ConnId),
-    /// Close gently, so that what was written is read although the other side goes on sending: write, end the
-    /// writing half, read and drop for a bounded while.
+    /// Close gracefully, so that the other side can read what was written although it goes on sending: write,
+    /// shut down the sending half, then read and discard for a limited time.
     HangUp(ConnId),
-    /// Send a datagram.
+    /// Send a datagram to this address.
     Tell(SocketAddr, Vec<u8>),
-    /// A line for the log.
+    /// Write a log message.
     Notice(Notice),
-    /// All is done after [`Input::Terminate`]. Said again at each look at the connections for as long as it
-    /// is so: a set-up that still arrives is taken, and this waits for it.
+    /// The shutdown after [`Input::Terminate`] is complete. Repeated at every maintenance run while this
+    /// holds: a set-up that still arrives is accepted, and `Stopped` is withheld until it is answered.
     Stopped,
 }
 
-/// What a node has done and holds.
+/// Counters of a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Set-ups taken.
+    /// Set-ups received.
     pub calls: u64,
-    /// Answered: the call stood.
+    /// Calls that were established.
     pub stood: u64,
-    /// Refused (503).
+    /// Calls that were refused with 503.
     pub refused: u64,
-    /// Failed.
+    /// Calls that failed.
     pub failed: u64,
-    /// Given up by their callers.
-    pub gone: u64,
-    /// Stood and were cut.
+    /// Set-ups that were given up by their callers.
+    pub given_up: u64,
+    /// Established calls that were cut off.
     pub cut: u64,
-    /// Attempts written to call servers.
+    /// Attempts sent to call servers.
     pub attempts: u64,
-    /// Messages and streams that could not be read or used, from callers.
-    pub bad_callers: u64,
-    /// The same from call servers.
-    pub bad_servers: u64,
-    /// Calls that the guard at the deadline had to answer; 0 unless something is wrong.
+    /// Messages and streams from callers that could not be parsed or used.
+    pub bad_caller_messages: u64,
+    /// Messages and streams from call servers that could not be parsed or used.
+    pub bad_server_messages: u64,
+    /// Calls that the deadline timer had to answer; 0 unless there is a fault.
     pub overdue: u64,
-    /// Notes of other nodes that the module was told.
-    pub notes: u64,
+    /// Messages of other access nodes that were passed to the module.
+    pub peer_messages: u64,
 }
--- a/crates/lemoncleat-access/src/journal.rs
+++ b/crates/lemoncleat-access/src/journal.rs
@@ -1,4 +1,5 @@
-//! The journal service: events of the list of servers, resumed after every break.
+//! The connection to the journal service, which sends the events of the server list. Reading resumes after
+//! the last event whenever the connection is lost.
 
 use std::net::SocketAddr;
 
@@ -8,7 +9,9 @@
 use crate::interface::{ConnId, DialId, Output};
 use crate::node::AccessNode;
 use crate::notice::Notice;
-use crate::timing::{JOURNAL_DIAL, JOURNAL_LINE, JOURNAL_REDIAL, JOURNAL_SILENT};
+use crate::timing::{
+    JOURNAL_DIAL_TIMEOUT_US, JOURNAL_REDIAL_PAUSE_US, JOURNAL_SILENCE_TIMEOUT_US, MAX_JOURNAL_LINE_BYTES,
+};
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum State {
@@ -17,23 +20,24 @@
     Up(ConnId),
 }
 
-/// Where the node stands with the journal service.
+/// State of the connection to the journal service.
 pub(crate) struct Journal {
     address: Option<SocketAddr>,
     state: State,
-    /// The number of the last event taken in.
+    /// Number of the last event that was applied.
     pos: u64,
     line: Vec<u8>,
-    /// The number of an event that came once and could not be read.
+    /// Number of an event that was received once and could not be parsed.
     unreadable: Option<u64>,
-    heard_at: Micros,
-    /// Between the beginnings of two dials, at least.
+    last_line_at: Micros,
+    /// Minimum time between the starts of two dials.
     pause: Micros,
-    /// When the last dial began.
+    /// When the last dial was started.
     dialled_at: Micros,
-    dial_at: Micros,
-    /// Whether something was read since the dial; a service that only accepts is not up.
-    heard: bool,
+    next_dial_at: Micros,
+    /// Whether a line was read since the dial; a service that only accepts the connection does not count as
+    /// up.
+    received_line: bool,
 }
 
 impl Journal {
@@ -44,11 +48,11 @@
             pos,
             line: Vec::new(),
             unreadable: None,
-            heard_at: 0,
-            pause: JOURNAL_REDIAL.0,
+            last_line_at: 0,
+            pause: JOURNAL_REDIAL_PAUSE_US.0,
             dialled_at: 0,
-            dial_at: 0,
-            heard: false,
+            next_dial_at: 0,
+            received_line: false,
         }
     }
 
@@ -66,53 +70,55 @@
         let Some(address) = self.journal.address else { return };
         let dial = self.servers.next_dial();
         (self.journal.state, self.journal.dialled_at) = (State::Dialling(dial), self.now);
-        self.out.push(Output::Dial(dial, address, JOURNAL_DIAL));
+        self.out.push(Output::Dial(dial, address, JOURNAL_DIAL_TIMEOUT_US));
     }
 
     pub(crate) fn journal_dialled(&mut self, conn: ConnId) {
         let journal = &mut self.journal;
         journal.state = State::Up(conn);
         journal.line.clear();
-        (journal.heard_at, journal.heard) = (self.now, false);
+        (journal.last_line_at, journal.received_line) = (self.now, false);
         let ask = format!("tail {}\n", journal.pos);
         self.send(conn, ask.into_bytes());
     }
 
-    /// What was begun is dropped, and the service is asked again from the last whole event on.
+    /// Closes the connection or cancels the dial, and schedules the next dial. Partial data is discarded:
+    /// reading resumes after the last complete event.
     pub(crate) fn journal_down(&mut self, why: &'static str) {
         let journal = &mut self.journal;
-        let told = journal.heard;
+        let was_up = journal.received_line;
         match std::mem::replace(&mut journal.state, State::Down) {
             State::Up(conn) => self.out.push(Output::Close(conn)),
             State::Dialling(dial) => self.out.push(Output::StopDial(dial)),
             State::Down => {}
         }
         let now = self.now;
-        if told && now - self.journal.dialled_at >= JOURNAL_REDIAL.1 {
-            // One that lasted was sound. Only reading a line proves nothing: the next may spoil it again.
-            self.journal.pause = JOURNAL_REDIAL.0;
+        if was_up && now - self.journal.dialled_at >= JOURNAL_REDIAL_PAUSE_US.1 {
+            // Only a connection that lasted resets the pause. A line that could be read proves nothing, since
+            // the next one may break the connection again.
+            self.journal.pause = JOURNAL_REDIAL_PAUSE_US.0;
         }
-        // A dial that was waited for has been the pause already; the first of a series may not come at once
-        // either.
-        let begins = self.journal.dialled_at + self.spread(self.journal.pause);
+        // A dial that ran into its time limit already includes the pause; but even the first dial of a series
+        // must not follow at once.
+        let earliest_dial = self.journal.dialled_at + self.jittered(self.journal.pause);
         let journal = &mut self.journal;
         journal.line = Vec::new();
-        journal.heard = false;
-        journal.dial_at = begins.max(now + JOURNAL_REDIAL.0);
-        journal.pause = (2 * journal.pause).min(JOURNAL_REDIAL.1);
-        if told {
+        journal.received_line = false;
+        journal.next_dial_at = earliest_dial.max(now + JOURNAL_REDIAL_PAUSE_US.0);
+        journal.pause = (2 * journal.pause).min(JOURNAL_REDIAL_PAUSE_US.1);
+        if was_up {
             self.notice(Notice::JournalDown(why));
         }
     }
 
-    /// The service moved: on there at once, from the same number on.
+    /// Switches to the new address of the service at once; reading resumes after the same event number.
     pub(crate) fn journal_at(&mut self, address: SocketAddr) {
         if self.journal.address == Some(address) {
             return;
         }
-        self.journal_down("it moved");
+        self.journal_down("its address changed");
         self.journal.address = Some(address);
-        self.journal.pause = JOURNAL_REDIAL.0;
+        self.journal.pause = JOURNAL_REDIAL_PAUSE_US.0;
         self.dial_journal();
     }
 
@@ -130,69 +136,69 @@
                 }
                 Err(why) => {
                     self.notice(Notice::JournalLine(why));
-                    if !self.passes_over(&line) {
-                        return self.journal_down("a line can't be read");
+                    if !self.may_skip_line(&line) {
+                        return self.journal_down("a line cannot be parsed");
                     }
                 }
             }
         }
         self.journal.line.extend_from_slice(bytes);
-        if self.journal.line.len() > JOURNAL_LINE {
-            self.journal_down("a line has no end");
+        if self.journal.line.len() > MAX_JOURNAL_LINE_BYTES {
+            self.journal_down("a line exceeds the maximum length");
         }
     }
 
-    /// Whether to go on behind a line that can't be read. One that was spoilt on its way is sound when it is
-    /// asked for again; where the same event can't be read a second time, the service has it so, and those
-    /// behind it count.
-    fn passes_over(&mut self, line: &[u8]) -> bool {
+    /// Returns whether to continue after a line that cannot be parsed. A line corrupted in transit is intact
+    /// when it is requested again. If the same event cannot be parsed a second time, the service itself holds
+    /// it in this form, and the events after it must still be read.
+    fn may_skip_line(&mut self, line: &[u8]) -> bool {
         let next = self.journal.pos.saturating_add(1);
         let number = std::str::from_utf8(line).ok().and_then(number_of_line).filter(|number| *number == next);
-        let again = number.is_some() && self.journal.unreadable == number;
+        let seen_twice = number.is_some() && self.journal.unreadable == number;
         self.journal.unreadable = number;
-        if again {
+        if seen_twice {
             self.journal.pos = next;
         }
-        again
+        seen_twice
     }
 
-    /// Takes a line in; false when the connection is of no more use.
+    /// Applies a line. Returns `false` if the connection was closed.
     fn journal_line(&mut self, line: JournalLine) -> bool {
         let journal = &mut self.journal;
-        journal.heard_at = self.now;
-        let first = !std::mem::replace(&mut journal.heard, true);
+        journal.last_line_at = self.now;
+        let first = !std::mem::replace(&mut journal.received_line, true);
         let (address, pos) = (journal.address, journal.pos);
         if let (true, Some(address)) = (first, address) {
             self.notice(Notice::JournalUp(address, pos));
         }
         match line {
-            // A complete list holds whatever the events before it told.
+            // A complete list includes the changes of all earlier events.
             JournalLine::Event(number, news)
                 if number > pos && (number - pos == 1 || news.as_ref().is_some_and(|news| news.complete)) =>
             {
                 self.journal.pos = number;
                 if let Some(news) = news {
-                    self.listed(news);
+                    self.server_list_received(news);
                 }
                 true
             }
-            // It was told before.
+            // Already applied.
             JournalLine::Event(number, _) if number <= pos => true,
             JournalLine::Last(number) if number <= pos => true,
             JournalLine::Event(..) | JournalLine::Last(_) => {
-                self.journal_down("it left events out");
+                self.journal_down("events are missing");
                 false
             }
         }
     }
 
-    pub(crate) fn sweep_journal(&mut self) {
+    pub(crate) fn maintain_journal(&mut self) {
         match self.journal.state {
-            State::Up(_) if self.now - self.journal.heard_at > JOURNAL_SILENT => {
-                self.journal_down("it fell silent");
+            State::Up(_) if self.now - self.journal.last_line_at > JOURNAL_SILENCE_TIMEOUT_US => {
+                self.journal_down("nothing received in time");
                 self.dial_journal();
             }
-            State::Down if self.now >= self.journal.dial_at => self.dial_journal(),
+            State::Down if self.now >= self.journal.next_dial_at => self.dial_journal(),
             _ => {}
         }
     }
--- a/crates/lemoncleat-access/src/lib.rs
+++ b/crates/lemoncleat-access/src/lib.rs
@@ -1,10 +1,10 @@
-//! The access node on the operators' platform, without I/O: SIP of callers and call servers on one side, the
-//! decision module of `lemoncleat` on the other.
+//! Protocol core of the access node on the operators' platform, without I/O. It speaks SIP with callers and
+//! call servers and asks the decision module of `lemoncleat` for every routing decision.
 //!
-//! A driver owns sockets and the clock. It tells an [`AccessNode`] what happened with [`AccessNode::handle`] and
-//! carries out the [`Output`]s. Which server a call goes to, when an attempt is given up and when a call is
-//! refused all come from the module; what stands here is what the protocol makes of that, and the bounds that keep
-//! callers, servers and the node's own memory from harming one another.
+//! A driver owns the sockets and the clock. It reports what happened through [`AccessNode::handle`] and
+//! carries out the [`Output`]s. The module decides which server a call goes to, when an attempt is given up
+//! and when a call is refused. This crate implements what the protocol requires for these decisions, and the
+//! limits that protect callers, servers and the node's own memory from one another.
 
 mod callers;
 mod calls;
--- a/crates/lemoncleat-access/src/node.rs
+++ b/crates/lemoncleat-access/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: what it holds, where inputs go, and how the module is asked.
+//! The access node: its state, the dispatch of inputs, and the exchange with the decision module.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,156 +7,157 @@
 use lemoncleat_platform::NodeConfig;
 
 use crate::callers::Callers;
-use crate::calls::{Call, Standing};
-use crate::fleet::Joined;
+use crate::calls::{Call, StandingCall};
+use crate::fleet::JoinedFleet;
 use crate::interface::{ConnId, Input, Output, Stats};
 use crate::journal::Journal;
-use crate::notes::Notes;
+use crate::notes::PeerMessages;
 use crate::notice::Notice;
 use crate::releases::Releases;
 use crate::servers::Servers;
-use crate::timing::{RELEASES, SWEEP};
+use crate::timing::{MAINTENANCE_INTERVAL_US, MAX_RELEASES};
 
-/// What comes due.
+/// Timers of the node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// The module asked for it.
+    /// Requested by the module.
     Module(u64),
-    /// An attempt's time is over.
+    /// The time limit of an attempt.
     Attempt(CallId, u32),
-    /// A call has no answer and its deadline is near.
-    Guard(CallId),
-    /// A look at connections.
-    Sweep,
+    /// The deadline of an unanswered call.
+    CallDeadline(CallId),
+    /// The maintenance run.
+    Maintenance,
 }
 
-/// Who is at the other end of a connection.
+/// The kind of peer at the other end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum ConnOwner {
     Caller,
     Server,
     Journal,
 }
 
-/// Memory that set-ups without an answer may take, as a share of the limit.
-const MEMORY_FOR_CALLS: usize = 6;
-/// What one of them takes at most, with its description and its refusals.
-const MEMORY_OF_CALL: usize = 4 * 1024;
+/// Share of the memory limit that unanswered set-ups may take, as a divisor.
+const CALL_MEMORY_DIVISOR: usize = 6;
+/// Maximum memory of an unanswered set-up, with its session description and its refusals.
+const MAX_CALL_BYTES: usize = 4 * 1024;
 
-/// What a call that stands takes at most.
-const MEMORY_OF_STANDING: usize = 512;
+/// Maximum memory of an established call.
+const MAX_STANDING_CALL_BYTES: usize = 512;
 
-/// What a given-up attempt is counted as, so that all that are remembered take a part of that share only: one takes
-/// some 200 bytes.
-const MEMORY_OF_ABANDONED: usize = 512;
+/// Memory accounted for a given-up attempt, so that all that are recorded take only a part of that share: one
+/// takes some 200 bytes.
+const ABANDONED_ATTEMPT_BYTES: usize = 512;
 
-/// An access node.
+/// The protocol core of an access node.
 pub struct AccessNode {
     pub(crate) name: String,
     pub(crate) now: Micros,
-    /// When the bytes that are being taken in came, at the earliest.
-    pub(crate) came: Micros,
-    /// Unix time, in microseconds, at the moment 0.
+    /// Earliest time at which the bytes being processed may have arrived.
+    pub(crate) received_at: Micros,
+    /// Unix time in microseconds at time 0.
     pub(crate) epoch: Micros,
     pub(crate) classes: Vec<String>,
-    /// Set-ups without an answer, at most.
-    pub(crate) most_open: usize,
-    /// Calls that stand, at most, before more are taken up that callers only name.
-    pub(crate) most_standing: usize,
-    pub(crate) longest_deadline: Micros,
-    /// The time to come back that callers follow at most; `None` where they are told none.
-    pub(crate) longest_return: Option<Micros>,
+    /// Maximum number of unanswered set-ups.
+    pub(crate) max_open_calls: usize,
+    /// Maximum number of established calls beyond which calls that are only named by callers are not taken
+    /// over.
+    pub(crate) max_standing_calls: usize,
+    pub(crate) max_deadline: Micros,
+    /// The longest `Retry-After` that callers honour; `None` if they are given none.
+    pub(crate) max_retry_hint: Option<Micros>,
     pub(crate) controller: Controller,
     pub(crate) wheel: Wheel<Timer>,
     pub(crate) callers: Callers,
     pub(crate) calls: BTreeMap<CallId, Call>,
-    pub(crate) standing: BTreeMap<CallId, Standing>,
+    pub(crate) standing: BTreeMap<CallId, StandingCall>,
     pub(crate) releases: Releases,
     pub(crate) servers: Servers,
     pub(crate) journal: Journal,
-    pub(crate) notes: Notes,
-    /// Its number among the nodes of the tier.
+    pub(crate) peer_messages: PeerMessages,
+    /// The node's number within its tier.
     pub(crate) own_number: u32,
     pub(crate) seed: u64,
-    pub(crate) fleet: Option<Box<Joined>>,
-    /// Whether single calls are told of.
+    pub(crate) fleet: Option<Box<JoinedFleet>>,
+    /// Whether the steps of single calls are logged.
     pub(crate) tracing: bool,
-    /// Ends of attempts that the module hears of after their caller's leaving.
-    pub(crate) closing: Vec<Event>,
-    /// What the module has still to be told.
+    /// Ends of attempts that are reported to the module after the departure of their caller.
+    pub(crate) deferred_events: Vec<Event>,
+    /// Events that the module has not been given yet.
     events: VecDeque<Event>,
     actions: Vec<Action>,
     pub(crate) out: Vec<Output>,
     pub(crate) stats: Stats,
-    pub(crate) told_at: Micros,
-    /// When it was asked to end.
+    pub(crate) sizes_logged_at: Micros,
+    /// When the shutdown was requested.
     pub(crate) stopping: Option<Micros>,
     pub(crate) stopped: bool,
 }
 
 impl AccessNode {
-    /// A node at the moment 0, which is `epoch` microseconds of Unix time.
+    /// Creates a node at time 0, which is `epoch` microseconds of Unix time.
     ///
     /// # Errors
     ///
-    /// When the module can't work with the settings.
+    /// Returns an error if the module rejects the settings.
     pub fn new(config: NodeConfig, epoch: Micros) -> Result<Self, SettingsError> {
         let site = config.site;
-        let longest_deadline = site.module.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        let notes = Notes::new(&site.module, config.peers, config.peers_all);
+        let max_deadline = site.module.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let peer_messages = PeerMessages::new(&site.module, config.peers, config.peers_all);
         let sockets = config.limits.sockets as usize;
         let (nodes, own_number, seed) = (site.module.balancers, site.module.own_number, config.seed);
         let servers = Servers::new(sockets, site.dial_timeout, &site.zones, nodes, seed);
-        let memory = config.limits.memory_mb as usize * (1 << 20) / MEMORY_FOR_CALLS;
-        let held = if site.most_held > 0 { site.most_held as usize } else { usize::MAX };
+        let memory = config.limits.memory_mb as usize * (1 << 20) / CALL_MEMORY_DIVISOR;
+        let max_held = if site.most_held > 0 { site.most_held as usize } else { usize::MAX };
         let mut node = AccessNode {
             name: config.name,
             now: 0,
-            came: 0,
+            received_at: 0,
             epoch,
             classes: site.classes,
-            most_open: (memory / MEMORY_OF_CALL).min(held),
-            most_standing: memory / MEMORY_OF_STANDING,
-            longest_deadline,
-            longest_return: site.module.max_retry_hint,
+            max_open_calls: (memory / MAX_CALL_BYTES).min(max_held),
+            max_standing_calls: memory / MAX_STANDING_CALL_BYTES,
+            max_deadline,
+            max_retry_hint: site.module.max_retry_hint,
             controller: Controller::new(site.module, config.seed)?,
             wheel: Wheel::new(),
             callers: Callers::new(sockets),
             calls: BTreeMap::new(),
             standing: BTreeMap::new(),
-            releases: Releases::new((memory / MEMORY_OF_ABANDONED).max(RELEASES)),
+            releases: Releases::new((memory / ABANDONED_ATTEMPT_BYTES).max(MAX_RELEASES)),
             servers,
             journal: Journal::new(config.journal, config.known_to),
-            notes,
+            peer_messages,
             own_number,
             seed,
             fleet: None,
             tracing: false,
-            closing: Vec::new(),
+            deferred_events: Vec::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
             out: Vec::new(),
             stats: Stats::default(),
-            told_at: 0,
+            sizes_logged_at: 0,
             stopping: None,
             stopped: false,
         };
         for news in config.known {
-            node.listed(news);
+            node.server_list_received(news);
         }
-        node.settle();
+        node.dispatch_events();
         node.dial_journal();
-        node.wheel.set(SWEEP, Timer::Sweep);
+        node.wheel.set(MAINTENANCE_INTERVAL_US, Timer::Maintenance);
         Ok(node)
     }
 
-    /// Takes one input in at the moment `now` and adds what is to be done to `outputs`.
+    /// Processes one input at time `now` and appends the resulting operations to `outputs`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        self.came = self.now;
+        self.received_at = self.now;
         match input {
             Input::Accepted(conn) => self.caller_accepted(conn),
-            Input::NotQuiet(conn) => self.caller_stays(conn),
+            Input::NotQuiet(conn) => self.keep_unread_caller(conn),
             Input::Dialled(dial, conn) => {
                 if self.journal.is_dial(dial) {
                     self.journal_dialled(conn);
@@ -166,117 +167,117 @@
             }
             Input::DialFailed { dial, refused } => {
                 if self.journal.is_dial(dial) {
-                    self.journal_down("the connection does not come about");
+                    self.journal_down("the dial failed");
                 } else {
                     self.server_dial_failed(dial, refused);
                 }
             }
             Input::NotDialled(dial) => {
                 if self.journal.is_dial(dial) {
-                    self.journal_down("it can't be dialled from here");
+                    self.journal_down("the dial could not be started");
                 } else {
                     self.server_not_dialled(dial);
                 }
             }
-            Input::Bytes(conn, bytes) => self.bytes(conn, bytes),
+            Input::Bytes(conn, bytes) => self.bytes_received(conn, bytes),
             Input::Waited(conn, bytes, waited) => {
-                self.came = self.now - waited.max(0);
-                self.bytes(conn, bytes);
+                self.received_at = self.now - waited.max(0);
+                self.bytes_received(conn, bytes);
             }
-            Input::Leaving(conn) => self.caller_leaving(conn),
-            Input::Closed(conn) => match self.end_of(conn) {
-                Some(End::Caller) => self.caller_closed(conn),
-                Some(End::Server) => self.server_closed(conn),
-                Some(End::Journal) => self.journal_down("the connection was closed"),
+            Input::Leaving(conn) => self.caller_half_closed(conn),
+            Input::Closed(conn) => match self.owner_of(conn) {
+                Some(ConnOwner::Caller) => self.caller_closed(conn),
+                Some(ConnOwner::Server) => self.server_closed(conn),
+                Some(ConnOwner::Journal) => self.journal_down("the connection was closed"),
                 None => {}
             },
-            Input::Datagram(from, bytes) => self.note(from, bytes),
+            Input::Datagram(from, bytes) => self.peer_message(from, bytes),
             Input::Timeout => {
-                self.callers_were_closed();
-                self.due();
+                self.complete_caller_closes();
+                self.fire_timers();
             }
             Input::JournalAt(address) => self.journal_at(address),
             Input::Terminate => self.terminate(),
         }
-        self.settle();
+        self.dispatch_events();
         if matches!(input, Input::Timeout) {
-            self.fleet_turn();
+            self.run_fleet();
         }
         outputs.append(&mut self.out);
     }
 
-    /// Tells of every step of every call from now on.
+    /// Logs every step of every call from now on.
     pub fn trace_calls(&mut self) {
         self.tracing = true;
     }
 
-    /// When to call with [`Input::Timeout`] next.
+    /// Returns when to call [`AccessNode::handle`] with [`Input::Timeout`] next.
     pub fn wake(&self) -> Option<Micros> {
         self.wheel.wake().into_iter().chain(self.fleet_wake()).min()
     }
 
-    /// What was done so far.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    fn bytes(&mut self, conn: ConnId, bytes: &[u8]) {
-        match self.end_of(conn) {
-            Some(End::Caller) => self.caller_bytes(conn, bytes),
-            Some(End::Server) => self.server_bytes(conn, bytes),
-            Some(End::Journal) => self.journal_bytes(bytes),
+    fn bytes_received(&mut self, conn: ConnId, bytes: &[u8]) {
+        match self.owner_of(conn) {
+            Some(ConnOwner::Caller) => self.caller_bytes(conn, bytes),
+            Some(ConnOwner::Server) => self.server_bytes(conn, bytes),
+            Some(ConnOwner::Journal) => self.journal_bytes(bytes),
             None => {}
         }
     }
 
-    fn end_of(&self, conn: ConnId) -> Option<End> {
+    fn owner_of(&self, conn: ConnId) -> Option<ConnOwner> {
         if self.callers.holds(conn) {
-            Some(End::Caller)
+            Some(ConnOwner::Caller)
         } else if self.servers.holds(conn) {
-            Some(End::Server)
+            Some(ConnOwner::Server)
         } else if self.journal.holds(conn) {
-            Some(End::Journal)
+            Some(ConnOwner::Journal)
         } else {
             None
         }
     }
 
-    fn due(&mut self) {
+    fn fire_timers(&mut self) {
         while let Some(timer) = self.wheel.pop(self.now) {
             match timer {
-                Timer::Module(token) => self.tell(Event::Timer(token)),
-                Timer::Attempt(call, attempt) => self.attempt_late(call, attempt),
-                Timer::Guard(call) => self.guard(call),
-                Timer::Sweep => self.sweep(),
+                Timer::Module(token) => self.queue_event(Event::Timer(token)),
+                Timer::Attempt(call, attempt) => self.attempt_timed_out(call, attempt),
+                Timer::CallDeadline(call) => self.fail_at_deadline(call),
+                Timer::Maintenance => self.run_maintenance(),
             }
-            self.settle();
+            self.dispatch_events();
         }
     }
 
-    /// The module will be told this before the input is done with.
-    pub(crate) fn tell(&mut self, event: Event) {
+    /// Queues an event for the module; it is delivered before the processing of the current input ends.
+    pub(crate) fn queue_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    pub(crate) fn tell_members(&mut self, news: MemberNews) {
-        self.tell(Event::Members(news));
+    pub(crate) fn queue_member_news(&mut self, news: MemberNews) {
+        self.queue_event(Event::Members(news));
     }
 
-    /// Tells the module all there is to tell, and does what it asks for.
-    fn settle(&mut self) {
+    /// Delivers all queued events to the module and carries out its actions.
+    fn dispatch_events(&mut self) {
         while let Some(event) = self.events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
             self.controller.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.perform(action);
+                self.execute(action);
             }
             self.actions = actions;
         }
     }
 
-    fn perform(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { call, server, timeout } => self.attempt(call, server, timeout),
+            Action::Send { call, server, timeout } => self.start_attempt(call, server, timeout),
             Action::Refuse { call, retry_after } => self.refuse(call, retry_after),
             Action::Fail(call) => self.fail(call),
             Action::Cancel { call, attempt } => self.cancel(call, attempt),
@@ -284,9 +285,9 @@
                 self.wheel.set(self.now + delay.max(0), Timer::Module(token));
             }
             Action::Probe(server) => self.probe(server),
-            Action::Tell { to, bytes } => self.send_note(to, bytes),
+            Action::Tell { to, bytes } => self.send_peer_message(to, bytes),
             Action::Log(text) => self.notice(Notice::Module(text)),
-            // The journal service tells unasked.
+            // The journal service sends its events without being asked.
             Action::Watch(_) | Action::Fetch => {}
         }
     }
--- a/crates/lemoncleat-access/src/notice.rs
+++ b/crates/lemoncleat-access/src/notice.rs
@@ -1,4 +1,4 @@
-//! What a node tells its operators.
+//! Log messages of an access node.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,127 +7,129 @@
 
 use crate::interface::Stats;
 
-/// How much a notice matters.
+/// Severity of a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Only for somebody who traces calls.
+    /// Detail for tracing single calls.
     Debug,
-    /// The course of things.
+    /// Normal operation.
     Info,
-    /// Something outside is not as it should be.
+    /// A fault outside the node.
     Warn,
-    /// Something here is not as it should be.
+    /// A fault inside the node.
     Error,
 }
 
-/// What a node tells its operators.
+/// Log messages of an access node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The module's own line.
+    /// A log line of the decision module.
     Module(String),
-    /// One step of one call.
+    /// A step in the handling of one call.
     Call {
-        /// Its id.
+        /// The Call-ID.
         id: String,
         /// What happened.
         what: String,
     },
-    /// A caller's connection was closed, and why.
+    /// A caller's connection was closed, for the given reason.
     CallerClosed(&'static str),
-    /// A server's connection is of no more use, and why.
+    /// The node closed a connection to a call server.
     ServerConn {
         /// The server's name.
         server: String,
-        /// What is wrong with it.
+        /// Why it was closed.
         why: &'static str,
-        /// Set-ups that were open on it.
+        /// Number of set-ups that were open on the connection.
         open: usize,
     },
-    /// Where a server stands, for who traces calls.
+    /// State of a call server, reported when calls are traced.
     Server {
-        /// The server's name and where it listens.
+        /// The server's name and address.
         server: String,
-        /// What the list says.
-        listed: &'static str,
-        /// Calls that stand there.
+        /// State in the server list.
+        state: &'static str,
+        /// Number of established calls on the server.
         standing: usize,
-        /// Connections to it.
+        /// Number of connections to the server.
         conns: usize,
-        /// Dials under way.
+        /// Number of dials in progress.
         dials: usize,
     },
-    /// What a server told of its load, beside what the module took it to be like until then; for who traces calls.
-    Told {
+    /// A server's load report next to the view that the module held until then; reported when calls are
+    /// traced.
+    LoadReport {
         /// The server's name.
         server: String,
-        /// The report, as it came.
+        /// The report as received.
         report: String,
-        /// The module's view.
-        held: View,
+        /// The module's view before the report.
+        previous_view: View,
     },
-    /// A server can't be reached.
+    /// A dial to a server failed.
     Unreachable {
         /// The server's name.
         server: String,
-        /// Nobody listens there; otherwise the dial took too long.
+        /// `true` if the connection was refused, `false` if the dial timed out.
         refused: bool,
     },
-    /// A server's standing calls are lost.
+    /// The established calls of a server are considered lost.
     CallsLost {
         /// The server's name.
         server: String,
-        /// How many.
+        /// Number of calls.
         calls: usize,
-        /// How that is known.
+        /// Why they are considered lost.
         why: &'static str,
     },
-    /// The journal service is heard again, from this number on.
+    /// The journal service at this address answers; events are read from this number on.
     JournalUp(SocketAddr, u64),
-    /// The journal service is not heard any more, and why.
+    /// The connection to the journal service was lost, for the given reason.
     JournalDown(&'static str),
-    /// A line of the journal service can't be read.
+    /// A line from the journal service could not be parsed.
     JournalLine(String),
-    /// The module did not answer a call in time; the guard did.
+    /// The module left a call without an answer; the deadline timer failed it. Carries the Call-ID.
     Overdue(String),
-    /// The node ends in order.
+    /// The node has begun its orderly shutdown.
     Stopping {
-        /// Set-ups without an answer.
+        /// Number of unanswered set-ups.
         open: usize,
-        /// Calls that stand.
+        /// Number of established calls.
         standing: usize,
     },
-    /// Sizes of the tables.
+    /// Sizes of all tables.
     Tables {
-        /// Callers' connections.
+        /// Number of callers' connections.
         callers: usize,
-        /// Set-ups without an answer.
+        /// Number of unanswered set-ups.
         open: usize,
-        /// Calls that stand.
+        /// Number of established calls.
         standing: usize,
-        /// Servers known.
+        /// Number of known servers.
         servers: usize,
-        /// Connections to servers.
+        /// Number of connections to servers.
         server_conns: usize,
-        /// Releases not yet heard by callers.
+        /// Number of releases that callers have not confirmed.
         releases: usize,
-        /// Releases of calls that nobody here knows.
+        /// Number of remembered releases, ended calls and withdrawn set-ups that are not in the other tables.
         unknown: usize,
-        /// Timers set.
+        /// Number of running timers.
         timers: usize,
-        /// What the module holds.
+        /// Sizes of the module's tables.
         module: Sizes,
-        /// What was done so far.
+        /// Counters since the start.
         stats: Stats,
     },
 }
 
 impl Notice {
-    /// How much it matters.
+    /// Returns the severity.
     pub fn level(&self) -> Level {
         match self {
-            Notice::Call { .. } | Notice::CallerClosed(_) | Notice::Server { .. } | Notice::Told { .. } => {
-                Level::Debug
-            }
+            Notice::Call { .. }
+            | Notice::CallerClosed(_)
+            | Notice::Server { .. }
+            | Notice::LoadReport { .. } => Level::Debug,
             Notice::Module(_)
             | Notice::JournalUp(..)
             | Notice::Stopping { .. }
@@ -147,36 +149,36 @@
         match self {
             Notice::Module(text) => f.write_str(text),
             Notice::Call { id, what } => write!(f, "call {id}: {what}"),
-            Notice::CallerClosed(why) => write!(f, "caller's connection closed: {why}"),
+            Notice::CallerClosed(why) => write!(f, "caller connection closed: {why}"),
             Notice::ServerConn { server, why, open } => {
                 write!(f, "connection to {server} given up: {why}, {open} set-ups open on it")
             }
-            Notice::Server { server, listed, standing, conns, dials } => write!(
+            Notice::Server { server, state, standing, conns, dials } => write!(
                 f,
-                "{server}: {listed}, {standing} calls stand, {conns} connections, {dials} dials"
+                "{server}: {state}, {standing} standing calls, {conns} connections, {dials} dials"
             ),
-            Notice::Told { server, report, held } => {
-                write!(f, "{server} told {report}; held until then: ")?;
-                match (held.free, held.lines) {
+            Notice::LoadReport { server, report, previous_view } => {
+                write!(f, "{server} reported {report}; view until then: ")?;
+                match (previous_view.free, previous_view.lines) {
                     (Some(free), Some(lines)) => write!(f, "{free} of {lines} lines free")?,
                     _ => f.write_str("lines not known")?,
                 }
-                write!(f, ", wait {:.1} ms", held.wait as f64 / 1e3)?;
-                match held.way {
-                    Some(way) => write!(f, ", way {:.1} ms", way as f64 / 1e3)?,
-                    None => f.write_str(", way not known")?,
+                write!(f, ", wait {:.1} ms", previous_view.wait as f64 / 1e3)?;
+                match previous_view.way {
+                    Some(way) => write!(f, ", round trip {:.1} ms", way as f64 / 1e3)?,
+                    None => f.write_str(", round trip not known")?,
                 }
-                f.write_str(if held.silent { ", silent" } else { "" })
+                f.write_str(if previous_view.silent { ", silent" } else { "" })
             }
-            Notice::Unreachable { server, refused: true } => write!(f, "{server} refuses connections"),
-            Notice::Unreachable { server, refused: false } => write!(f, "{server} can't be reached"),
+            Notice::Unreachable { server, refused: true } => write!(f, "server {server} refuses connections"),
+            Notice::Unreachable { server, refused: false } => write!(f, "server {server} cannot be reached"),
             Notice::CallsLost { server, calls, why } => {
                 write!(f, "{calls} standing calls of {server} are lost: {why}")
             }
-            Notice::JournalUp(address, pos) => write!(f, "journal service at {address} heard, from {pos} on"),
-            Notice::JournalDown(why) => write!(f, "journal service not heard: {why}"),
+            Notice::JournalUp(address, pos) => write!(f, "journal service at {address} up, from event {pos}"),
+            Notice::JournalDown(why) => write!(f, "journal service disconnected: {why}"),
             Notice::JournalLine(why) => write!(f, "journal service: {why}"),
-            Notice::Overdue(id) => write!(f, "call {id} had no answer at its deadline: failed by the guard"),
+            Notice::Overdue(id) => write!(f, "call {id} unanswered at its deadline: failed"),
             Notice::Stopping { open, standing } => {
                 write!(f, "ending in order: {open} set-ups open, {standing} calls stand")
             }
@@ -205,11 +207,11 @@
                 stats.stood,
                 stats.refused,
                 stats.failed,
-                stats.gone,
+                stats.given_up,
                 stats.cut,
                 stats.attempts,
-                stats.bad_callers,
-                stats.bad_servers,
+                stats.bad_caller_messages,
+                stats.bad_server_messages,
                 stats.overdue
             ),
         }
--- a/crates/lemoncleat-access/src/servers.rs
+++ b/crates/lemoncleat-access/src/servers.rs
@@ -1,4 +1,4 @@
-//! Call servers: the list, connections to them, and what comes on these.
+//! Call servers: the server list, the connections to them, and the messages received on these.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,18 +8,20 @@
 use lemoncleat_platform::{diagnosis, report_of_text, Names, ServerNews};
 use lemoncleat_sip::{response, Message, Method, Reader, Start};
 
-use crate::callers::RESERVED;
-use crate::calls::{cause_of, dialog, Carrier};
+use crate::callers::RESERVED_SOCKETS;
+use crate::calls::{cause_of, dialog_request, AttemptPath};
 use crate::description;
 use crate::interface::{ConnId, DialId, Output};
 use crate::invite;
 use crate::node::AccessNode;
 use crate::notice::Notice;
 use crate::timing::{
-    CHECK, DIAL, IDLE_SERVER, KEPT, MUTE, PARTIAL_ANSWER, REDIAL, RELEASES, SILENCE, VANISHED,
+    DEFAULT_DIAL_TIMEOUT_US, FRESH_CONN_INTERVAL_US, IDLE_CONNS_KEPT, MAX_RELEASES,
+    PARTIAL_MESSAGE_TIMEOUT_US, REDIAL_PAUSE_US, SERVER_CONN_IDLE_TIMEOUT_US, SERVER_LOST_TIMEOUT_US,
+    SUSPECT_SILENCE_US, UNANSWERED_CONN_TIMEOUT_US,
 };
 
-/// One call server.
+/// A call server.
 struct Server {
     name: String,
     address: SocketAddr,
@@ -27,33 +29,33 @@
     started_at: Option<Micros>,
     conns: BTreeSet<ConnId>,
     dials: BTreeSet<DialId>,
-    /// Calls that stand there.
+    /// Number of established calls on the server.
     standing: usize,
-    /// Releases to write once there is a connection: id, number called, cause.
-    owed: Vec<(String, String, u16)>,
-    /// When a connection to it came up last: what it could not tell before, it told then.
-    fresh_at: Micros,
-    /// The last message of it on any connection, or the moment at which one came up.
-    heard_at: Micros,
-    /// The last dial failed.
+    /// Releases to send once there is a connection: Call-ID, called number, cause.
+    pending_releases: Vec<(String, String, u16)>,
+    /// When a connection to it was last established: what it could not report before, it reported then.
+    last_connected_at: Micros,
+    /// When a message was last received from it on any connection, or when one was established.
+    last_received_at: Micros,
+    /// Whether the last dial failed.
     unreachable: bool,
     pause: Micros,
-    dial_at: Micros,
-    /// Another server stands at its address now.
-    displaced: bool,
+    next_dial_at: Micros,
+    /// Whether another server now has its address.
+    address_taken: bool,
 }
 
 impl Server {
     fn notice(&self) -> Notice {
-        let listed = match (self.displaced, self.availability) {
-            (true, _) => "another stands at its address",
+        let state = match (self.address_taken, self.availability) {
+            (true, _) => "address taken by another server",
             (_, Availability::Ready) => "takes calls",
             (_, Availability::Draining) => "drains",
             (_, Availability::Gone) => "gone",
         };
         Notice::Server {
             server: format!("{} at {}", self.name, self.address),
-            listed,
+            state,
             standing: self.standing,
             conns: self.conns.len(),
             dials: self.dials.len(),
@@ -61,72 +63,74 @@
     }
 }
 
-/// A connection to one.
+/// A connection to a call server.
 struct ServerConn {
     server: ServerId,
     reader: Reader,
-    /// Set-ups open on it.
+    /// Set-ups that are open on it.
     open: BTreeSet<CallId>,
-    /// Calls that stand and were set up on it: their releases come here.
+    /// Number of established calls that were set up on it: their releases arrive here.
     standing: usize,
-    /// A set-up timed out on it in silence: no more of them.
+    /// Whether a set-up timed out on it without anything received: it gets no further set-ups.
     suspect: bool,
     opened_at: Micros,
-    heard_at: Micros,
-    /// When the first set-up went out since.
-    asked_at: Option<Micros>,
-    used_at: Micros,
-    /// When the last piece of a message came whose rest is missing.
-    partial: Option<Micros>,
+    last_received_at: Micros,
+    /// When the first set-up was sent since the last message was received.
+    unanswered_since: Option<Micros>,
+    last_used_at: Micros,
+    /// When the last part of a still incomplete message arrived.
+    partial_since: Option<Micros>,
 }
 
-/// A connection that this node gave up: its server may tell the end of calls there into nothing.
-struct Forsaken {
+/// A connection that this node closed: the server may have reported the end of calls on it unread.
+struct AbandonedConn {
     server: ServerId,
-    /// Calls that still stand of those set up there.
+    /// Number of established calls that were set up on it.
     standing: usize,
-    /// Nothing was wrong with it: its server sees the close, and tells again on the next connection that
-    /// opens.
-    sound: bool,
+    /// Whether it was closed without a fault: its server sees the close, and repeats its releases on the next
+    /// connection.
+    healthy: bool,
 }
 
-/// A dial under way, and the set-ups that wait for it.
+/// A dial in progress, and the set-ups that wait for it.
 struct Dial {
     server: ServerId,
     waiting: BTreeSet<CallId>,
 }
 
-/// All of them.
+/// All call servers and the connections to them.
 pub(crate) struct Servers {
     all: BTreeMap<ServerId, Server>,
     by_name: BTreeMap<String, ServerId>,
     conns: BTreeMap<ConnId, ServerConn>,
-    /// Connections that this node gave up while calls set up there stood.
-    forsaken: BTreeMap<ConnId, Forsaken>,
+    /// Connections that this node closed while calls set up on them were established.
+    abandoned: BTreeMap<ConnId, AbandonedConn>,
     dials: BTreeMap<DialId, Dial>,
     zones: Names,
     kinds: Names,
     next_server: u32,
     next_dial: u64,
     dial_timeout: Micros,
-    /// Connections and dials, at most.
-    most: usize,
-    /// Connections that one server gets at most, whatever room there is.
-    most_of_one: usize,
-    /// Servers that take calls.
-    listed: usize,
-    /// Where this node begins with what it does to all servers, so that a fleet does not do it in step.
-    first: u64,
+    /// Maximum number of connections and dials.
+    max_conns: usize,
+    /// Maximum number of connections to one server, regardless of free capacity.
+    max_conns_per_server: usize,
+    /// Number of servers that accept calls.
+    ready_servers: usize,
+    /// Selects the server with which this node starts when it handles all servers, so that the nodes of a
+    /// fleet do not act in step.
+    rotation_seed: u64,
 }
 
-/// Connections that one server gets of a node at most, ...
-const MOST_OF_ONE: usize = 32;
-/// ... and of all nodes together, as long as each has one: what eight nodes, the most of a small fleet, may hold.
-const MOST_OF_ALL: usize = 8 * MOST_OF_ONE;
-/// A further attempt goes out this long after the module chose it, at most: half of the 50 ms by which the
-/// platform draws every time limit out. What the choice rested on, such as the window in which repeats are
-/// discarded, may be over later.
-const CHOICE_HOLDS: Micros = 25_000;
+/// Maximum number of connections from one node to a server, ...
+const MAX_CONNS_PER_SERVER: usize = 32;
+/// ... and from all nodes together, as long as each has one: the number that eight nodes, the largest of the
+/// small fleets, may hold.
+const MAX_CONNS_PER_SERVER_OF_ALL_NODES: usize = 8 * MAX_CONNS_PER_SERVER;
+/// Maximum time between the module's choice of a further attempt and its sending: half of the 50 ms by which
+/// the platform extends every time limit. The basis of the choice, such as the window in which repeated
+/// set-ups are discarded, may have expired later.
+const CHOICE_VALIDITY_US: Micros = 25_000;
 
 impl Servers {
     pub(crate) fn new(sockets: usize, dial_timeout: Micros, zones: &[String], nodes: u32, seed: u64) -> Self {
@@ -134,17 +138,18 @@
             all: BTreeMap::new(),
             by_name: BTreeMap::new(),
             conns: BTreeMap::new(),
-            forsaken: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
             dials: BTreeMap::new(),
             zones: zones.iter().collect(),
             kinds: Names::default(),
             next_server: 0,
             next_dial: 0,
-            dial_timeout: if dial_timeout > 0 { dial_timeout } else { DIAL },
-            most: sockets.saturating_sub(RESERVED) * 4 / 10,
-            most_of_one: (MOST_OF_ALL / nodes.max(1) as usize).clamp(1, MOST_OF_ONE),
-            listed: 0,
-            first: seed,
+            dial_timeout: if dial_timeout > 0 { dial_timeout } else { DEFAULT_DIAL_TIMEOUT_US },
+            max_conns: sockets.saturating_sub(RESERVED_SOCKETS) * 4 / 10,
+            max_conns_per_server: (MAX_CONNS_PER_SERVER_OF_ALL_NODES / nodes.max(1) as usize)
+                .clamp(1, MAX_CONNS_PER_SERVER),
+            ready_servers: 0,
+            rotation_seed: seed,
         }
     }
 
@@ -160,9 +165,9 @@
         self.conns.contains_key(&conn)
     }
 
-    /// Releases that have had no way to their servers yet.
-    pub(crate) fn owed_len(&self) -> usize {
-        self.all.values().map(|server| server.owed.len()).sum()
+    /// Returns the number of releases that could not be sent to their servers yet.
+    pub(crate) fn pending_releases_len(&self) -> usize {
+        self.all.values().map(|server| server.pending_releases.len()).sum()
     }
 
     pub(crate) fn next_dial(&mut self) -> DialId {
@@ -178,67 +183,67 @@
         self.all.get(&server).map_or_else(String::new, |server| server.name.clone())
     }
 
-    /// Whether news of calls that stand there can still arrive.
-    pub(crate) fn can_be_heard(&self, server: ServerId) -> bool {
-        self.all.get(&server).is_some_and(|server| !server.displaced || !server.conns.is_empty())
+    /// Returns whether messages about calls at this server can still arrive.
+    pub(crate) fn may_still_report(&self, server: ServerId) -> bool {
+        self.all.get(&server).is_some_and(|server| !server.address_taken || !server.conns.is_empty())
     }
 
-    /// A call begins (1) or ends (-1) to stand at a server, set up on a connection.
-    pub(crate) fn stands(&mut self, server: ServerId, conn: Option<ConnId>, change: isize) {
+    /// Counts a call that begins (1) or ends (-1) to be established at a server, set up on a connection.
+    pub(crate) fn count_standing(&mut self, server: ServerId, conn: Option<ConnId>, change: isize) {
         if let Some(server) = self.all.get_mut(&server) {
             server.standing = server.standing.saturating_add_signed(change);
         }
         let Some(id) = conn else { return };
         if let Some(conn) = self.conns.get_mut(&id) {
             conn.standing = conn.standing.saturating_add_signed(change);
-        } else if let Some(forsaken) = self.forsaken.get_mut(&id) {
-            forsaken.standing = forsaken.standing.saturating_add_signed(change);
-            if forsaken.standing == 0 {
-                self.forsaken.remove(&id);
+        } else if let Some(abandoned) = self.abandoned.get_mut(&id) {
+            abandoned.standing = abandoned.standing.saturating_add_signed(change);
+            if abandoned.standing == 0 {
+                self.abandoned.remove(&id);
             }
         }
     }
 
-    /// The moment up to which it is sure that all was heard of the calls that stand at each server: when the quietest
-    /// of the connections on which they were set up was heard last.
-    fn surely_heard(&self) -> BTreeMap<ServerId, Micros> {
+    /// Returns for each server with established calls the time up to which all messages about them have
+    /// certainly been received: the earliest last message over all connections on which they were set up.
+    fn received_until(&self) -> BTreeMap<ServerId, Micros> {
         let conns = self.conns.values().filter(|conn| conn.standing > 0);
-        let conns = conns.map(|conn| (conn.server, conn.heard_at));
-        let forsaken = self.forsaken.values().map(|forsaken| (forsaken.server, 0));
-        let mut heard = BTreeMap::new();
-        for (server, at) in conns.chain(forsaken) {
-            let least = heard.entry(server).or_insert(at);
-            *least = at.min(*least);
-        }
-        heard
+        let conns = conns.map(|conn| (conn.server, conn.last_received_at));
+        let abandoned = self.abandoned.values().map(|abandoned| (abandoned.server, 0));
+        let mut received_until = BTreeMap::new();
+        for (server, at) in conns.chain(abandoned) {
+            let earliest = received_until.entry(server).or_insert(at);
+            *earliest = at.min(*earliest);
+        }
+        received_until
     }
 
-    /// A connection with calls standing of those set up there is given up.
-    fn forsake(&mut self, id: ConnId, gone: &ServerConn, sound: bool) {
+    /// Records a closed connection on which established calls were set up.
+    fn abandon_conn(&mut self, id: ConnId, gone: &ServerConn, healthy: bool) {
         if gone.standing > 0 {
             let (server, standing) = (gone.server, gone.standing);
-            self.forsaken.insert(id, Forsaken { server, standing, sound });
+            self.abandoned.insert(id, AbandonedConn { server, standing, healthy });
         }
     }
 
-    /// A set-up was written on a connection.
-    pub(crate) fn opened(&mut self, conn: ConnId, call: CallId, now: Micros) {
+    /// Records that a set-up was written to a connection.
+    pub(crate) fn set_up_sent(&mut self, conn: ConnId, call: CallId, now: Micros) {
         if let Some(conn) = self.conns.get_mut(&conn) {
             conn.open.insert(call);
-            conn.asked_at.get_or_insert(now);
-            conn.used_at = now;
+            conn.unanswered_since.get_or_insert(now);
+            conn.last_used_at = now;
         }
     }
 
-    /// A set-up is not open any more, or waits no more for its dial.
-    pub(crate) fn unopened(&mut self, carrier: Carrier, call: CallId) {
-        match carrier {
-            Carrier::Conn(conn) => {
+    /// Records that a set-up is no longer open, or no longer waits for its dial.
+    pub(crate) fn set_up_closed(&mut self, path: AttemptPath, call: CallId) {
+        match path {
+            AttemptPath::Conn(conn) => {
                 if let Some(conn) = self.conns.get_mut(&conn) {
                     conn.open.remove(&call);
                 }
             }
-            Carrier::Dial(dial) => {
+            AttemptPath::Dial(dial) => {
                 if let Some(dial) = self.dials.get_mut(&dial) {
                     dial.waiting.remove(&call);
                 }
@@ -246,78 +251,82 @@
         }
     }
 
-    /// A set-up sent at that moment was given up on a connection. True if the connection has said nothing since
-    /// for a while: it gets no more of them.
-    pub(crate) fn doubt(&mut self, conn: ConnId, sent: Micros, now: Micros) -> bool {
+    /// Records that a set-up sent at this time was given up on a connection. Returns `true` if nothing was
+    /// received on the connection since for some time: it gets no further set-ups.
+    pub(crate) fn suspect_if_silent(&mut self, conn: ConnId, sent_at: Micros, now: Micros) -> bool {
         let Some(conn) = self.conns.get_mut(&conn) else { return true };
-        conn.suspect |= conn.heard_at <= sent && now - sent >= SILENCE;
+        conn.suspect |= conn.last_received_at <= sent_at && now - sent_at >= SUSPECT_SILENCE_US;
         conn.suspect
     }
 
-    /// A connection for a set-up: one with nothing open on it, else a new one, else the one with the least.
-    /// None of `spent`, on which the call's answers could be taken for one another.
-    fn choose(&self, server: ServerId, spent: &[ConnId]) -> Option<ConnId> {
-        let own = self.all.get(&server)?.conns.iter().filter(|conn| !spent.contains(conn));
-        let sound =
-            own.filter_map(|id| self.conns.get(id).map(|conn| (*id, conn))).filter(|(_, c)| !c.suspect);
-        // Of several with nothing open, the one heard last is the surest to be there.
-        sound.min_by_key(|(_, conn)| (conn.open.len(), std::cmp::Reverse(conn.heard_at))).map(|(id, _)| id)
+    /// Returns a connection for a set-up: the one with the fewest open set-ups, and none of `used_conns`, on
+    /// which answers to different attempts of the call could be confused.
+    fn best_conn(&self, server: ServerId, used_conns: &[ConnId]) -> Option<ConnId> {
+        let own_conns = self.all.get(&server)?.conns.iter().filter(|conn| !used_conns.contains(conn));
+        let healthy =
+            own_conns.filter_map(|id| self.conns.get(id).map(|conn| (*id, conn))).filter(|(_, c)| !c.suspect);
+        // Among several without open set-ups, the one received on last is the most likely to work.
+        healthy
+            .min_by_key(|(_, conn)| (conn.open.len(), std::cmp::Reverse(conn.last_received_at)))
+            .map(|(id, _)| id)
     }
 
-    fn room(&self, server: ServerId) -> bool {
-        let most = (self.most / self.listed.max(1)).max(2).min(self.most_of_one);
-        let own = self.all.get(&server).map_or(0, |server| server.conns.len() + server.dials.len());
-        own < most && !self.is_full()
+    fn has_room(&self, server: ServerId) -> bool {
+        let max_conns = (self.max_conns / self.ready_servers.max(1)).max(2).min(self.max_conns_per_server);
+        let open_or_dialled =
+            self.all.get(&server).map_or(0, |server| server.conns.len() + server.dials.len());
+        open_or_dialled < max_conns && !self.is_full()
     }
 
-    /// All of them, beginning where this node does.
-    fn in_own_order(&self) -> Vec<ServerId> {
+    /// Returns all servers, starting with the one that is this node's first.
+    fn in_rotated_order(&self) -> Vec<ServerId> {
         let mut all: Vec<_> = self.all.keys().copied().collect();
         if !all.is_empty() {
-            let first = (self.first % all.len() as u64) as usize;
+            let first = (self.rotation_seed % all.len() as u64) as usize;
             all.rotate_left(first);
         }
         all
     }
 
-    /// The connection that is missed least: nothing is open on it, best nothing stands there either, and of those
-    /// the one used longest ago.
-    fn least(&self, but: ServerId) -> Option<ConnId> {
-        let idle = self.conns.iter().filter(|(_, conn)| conn.open.is_empty() && conn.server != but);
-        idle.min_by_key(|(_, conn)| (conn.standing > 0, conn.used_at.max(conn.opened_at))).map(|(id, _)| *id)
+    /// Returns the connection whose loss matters least: it has no open set-up, preferably no established
+    /// calls, and among those it is the least recently used.
+    fn eviction_candidate(&self, except: ServerId) -> Option<ConnId> {
+        let idle = self.conns.iter().filter(|(_, conn)| conn.open.is_empty() && conn.server != except);
+        idle.min_by_key(|(_, conn)| (conn.standing > 0, conn.last_used_at.max(conn.opened_at)))
+            .map(|(id, _)| *id)
     }
 
-    /// A dial to another server for which no set-up, no call that stands and no release waits.
-    fn idle_dial(&self, but: ServerId) -> Option<DialId> {
+    /// Returns a dial to another server for which no set-up, established call or release waits.
+    fn idle_dial(&self, except: ServerId) -> Option<DialId> {
         let idle = |dial: &Dial| {
-            let free = |server: &Server| server.standing == 0 && server.owed.is_empty();
-            dial.server != but && dial.waiting.is_empty() && self.all.get(&dial.server).is_some_and(free)
+            let free = |server: &Server| server.standing == 0 && server.pending_releases.is_empty();
+            dial.server != except && dial.waiting.is_empty() && self.all.get(&dial.server).is_some_and(free)
         };
         self.dials.iter().find(|(_, dial)| idle(dial)).map(|(id, _)| *id)
     }
 
     fn is_full(&self) -> bool {
-        self.conns.len() + self.dials.len() >= self.most
+        self.conns.len() + self.dials.len() >= self.max_conns
     }
 
-    /// Connections to one server that are kept however idle.
-    fn kept(&self) -> usize {
-        KEPT.min(self.most_of_one)
+    /// Returns the number of connections to one server that are kept even when idle.
+    fn idle_conns_kept(&self) -> usize {
+        IDLE_CONNS_KEPT.min(self.max_conns_per_server)
     }
 
-    fn sound_conn(&self, server: ServerId, but: Option<ConnId>) -> Option<ConnId> {
-        let own = self.all.get(&server)?.conns.iter().filter(|id| Some(**id) != but);
-        let sound =
-            own.filter_map(|id| self.conns.get(id).map(|conn| (*id, conn))).filter(|(_, c)| !c.suspect);
-        sound.max_by_key(|(_, conn)| conn.heard_at).map(|(id, _)| id)
+    fn healthy_conn(&self, server: ServerId, except: Option<ConnId>) -> Option<ConnId> {
+        let own_conns = self.all.get(&server)?.conns.iter().filter(|id| Some(**id) != except);
+        let healthy =
+            own_conns.filter_map(|id| self.conns.get(id).map(|conn| (*id, conn))).filter(|(_, c)| !c.suspect);
+        healthy.max_by_key(|(_, conn)| conn.last_received_at).map(|(id, _)| id)
     }
 }
 
 impl AccessNode {
-    // ---- The list ----
+    // ---- Server list ----
 
-    /// News of the list.
-    pub(crate) fn listed(&mut self, news: ServerNews) {
+    /// Applies an update of the server list.
+    pub(crate) fn server_list_received(&mut self, news: ServerNews) {
         let mut members = Vec::new();
         let mut seen = BTreeSet::new();
         for endpoint in news.endpoints {
@@ -336,11 +345,11 @@
             server.availability = listed.availability;
             server.started_at = listed.started_at;
             if let Some(started) = restarted {
-                // A process that began then holds nothing from before.
-                self.lose_standing(id, started, "its process started anew");
+                // A process started at that time holds no earlier calls.
+                self.end_lost_calls(id, started, "its process was restarted");
             }
             if listed.availability != Availability::Ready {
-                self.unbind(id);
+                self.end_waiting_attempts(id);
             }
         }
         if news.complete {
@@ -349,19 +358,19 @@
                 if let Some(server) = self.servers.all.get_mut(&id) {
                     server.availability = Availability::Gone;
                 }
-                self.unbind(id);
+                self.end_waiting_attempts(id);
             }
         }
         let all = self.servers.all.values();
-        self.servers.listed = all.filter(|server| server.availability == Availability::Ready).count();
-        self.displace();
+        self.servers.ready_servers = all.filter(|server| server.availability == Availability::Ready).count();
+        self.mark_taken_addresses();
         if self.tracing {
-            self.tell_servers();
+            self.log_servers();
         }
         let news = if news.complete { MemberNews::Complete(members) } else { MemberNews::Changes(members) };
-        self.tell_members(news);
-        for id in self.servers.in_own_order() {
-            self.mind_server(id);
+        self.queue_member_news(news);
+        for id in self.servers.in_rotated_order() {
+            self.maintain_server(id);
         }
     }
 
@@ -376,41 +385,46 @@
             conns: BTreeSet::new(),
             dials: BTreeSet::new(),
             standing: 0,
-            owed: Vec::new(),
-            fresh_at: self.now,
-            heard_at: self.now,
+            pending_releases: Vec::new(),
+            last_connected_at: self.now,
+            last_received_at: self.now,
             unreachable: false,
-            pause: REDIAL.0,
-            dial_at: self.now,
-            displaced: false,
+            pause: REDIAL_PAUSE_US.0,
+            next_dial_at: self.now,
+            address_taken: false,
         };
         self.servers.all.insert(id, server);
         self.servers.by_name.insert(name.to_owned(), id);
         id
     }
 
-    /// Servers at whose address another one stands are not to be dialled there any more: those that are gone,
-    /// and those that were listed before it and whose end is still to be told.
-    fn displace(&mut self) {
-        let here = self.servers.all.iter().filter(|(_, server)| server.availability != Availability::Gone);
-        // Of several at one address the one that started last is kept, of those alike the last listed: numbers grow.
-        let mut here: Vec<_> = here.map(|(id, server)| (server.started_at, *id, server.address)).collect();
-        here.sort_unstable();
-        let last: BTreeMap<SocketAddr, ServerId> = here.into_iter().map(|(_, id, at)| (at, id)).collect();
+    /// Marks the servers whose address is now used by another server, and stops dialling them there: servers
+    /// that are gone, and servers listed earlier whose end has not been reported yet.
+    fn mark_taken_addresses(&mut self) {
+        let listed_servers =
+            self.servers.all.iter().filter(|(_, server)| server.availability != Availability::Gone);
+        // Of several servers at one address the one started last is kept; if they started together, the one
+        // listed last, since ids ascend.
+        let mut listed_servers: Vec<_> =
+            listed_servers.map(|(id, server)| (server.started_at, *id, server.address)).collect();
+        listed_servers.sort_unstable();
+        let last: BTreeMap<SocketAddr, ServerId> =
+            listed_servers.into_iter().map(|(_, id, at)| (at, id)).collect();
         let mut dials = Vec::new();
         for (id, server) in &mut self.servers.all {
-            server.displaced = last.get(&server.address).is_some_and(|last| last != id);
-            if server.displaced {
+            server.address_taken = last.get(&server.address).is_some_and(|last| last != id);
+            if server.address_taken {
                 dials.extend(std::mem::take(&mut server.dials));
             }
         }
         for dial in dials {
-            self.stop_dial(dial);
+            self.cancel_dial(dial);
         }
     }
 
-    /// Set-ups that wait for a connection to a server that takes no more of them go elsewhere.
-    fn unbind(&mut self, id: ServerId) {
+    /// Ends attempts that wait for a connection to a server that no longer accepts calls, so that they go
+    /// elsewhere.
+    fn end_waiting_attempts(&mut self, id: ServerId) {
         let waiting: Vec<CallId> = self
             .servers
             .dials
@@ -425,54 +439,54 @@
 
     // ---- Connections ----
 
-    /// A pause before something that all nodes do at once: this node's own part of it, the last quarter by
-    /// its seed.
-    pub(crate) fn spread(&self, pause: Micros) -> Micros {
+    /// Returns this node's share of a pause before an operation that all nodes perform at the same time:
+    /// shortened by up to a quarter, depending on the node's seed.
+    pub(crate) fn jittered(&self, pause: Micros) -> Micros {
         pause - pause / 1024 * (self.seed % 256) as Micros
     }
 
-    /// What an attempt goes out on; `None` where there is nothing and no room for it.
-    pub(crate) fn carrier(&mut self, server: ServerId, call: CallId) -> Option<Carrier> {
-        let spent = self.calls.get(&call).map_or(&[][..], |call| &call.spent);
-        let best = self.servers.choose(server, spent);
+    /// Returns the connection or dial for an attempt, or `None` if there is none and no room for one.
+    pub(crate) fn path_for_attempt(&mut self, server: ServerId, call: CallId) -> Option<AttemptPath> {
+        let used_conns = self.calls.get(&call).map_or(&[][..], |call| &call.used_conns);
+        let best = self.servers.best_conn(server, used_conns);
         let free = best.and_then(|id| self.servers.conns.get(&id)).is_some_and(|conn| conn.open.is_empty());
-        // A further attempt does not wait for a dial where it can go out now.
+        // A further attempt does not wait for a dial if it can be sent now.
         let further = self.calls.get(&call).is_some_and(|call| call.attempts > 1);
-        if let (Some(conn), true) = (best, free || further || !self.servers.room(server)) {
-            return Some(Carrier::Conn(conn));
+        if let (Some(conn), true) = (best, free || further || !self.servers.has_room(server)) {
+            return Some(AttemptPath::Conn(conn));
         }
         let under_way = self.servers.all.get(&server)?.dials.first().copied();
         let dial = match under_way {
-            // Nothing is up: it waits with others.
-            Some(dial) if !self.servers.room(server) => Some(dial),
-            // Those that are up are of no use for it.
+            // No connection is established: it waits with the others.
+            Some(dial) if !self.servers.has_room(server) => Some(dial),
+            // The established connections are not suitable.
             _ if self.make_room(server) => self.dial_server(server),
             _ => None,
         };
         match dial {
             Some(dial) => {
                 self.servers.dials.get_mut(&dial)?.waiting.insert(call);
-                Some(Carrier::Dial(dial))
+                Some(AttemptPath::Dial(dial))
             }
-            None => best.map(Carrier::Conn),
+            None => best.map(AttemptPath::Conn),
         }
     }
 
-    /// Sees to it that a server can be dialled: where the budget is used up, a dial for which nobody waits is
-    /// given up, else the connection that is missed least is closed. A server that holds calls is not lost
-    /// with it: it tells their end on the next one.
+    /// Makes room for a dial to a server: if the limit is reached, a dial without waiting set-ups is
+    /// cancelled, or else the least needed connection is closed. A server with established calls is not lost
+    /// with its connection: it reports their end on the next one.
     fn make_room(&mut self, server: ServerId) -> bool {
         while self.servers.is_full() {
             if let Some(dial) = self.servers.idle_dial(server) {
-                self.stop_dial(dial);
+                self.cancel_dial(dial);
                 continue;
             }
-            let Some(least) = self.servers.least(server) else { return false };
+            let Some(least) = self.servers.eviction_candidate(server) else { return false };
             let Some(gone) = self.servers.conns.remove(&least) else { return false };
             if let Some(server) = self.servers.all.get_mut(&gone.server) {
                 server.conns.remove(&least);
             }
-            self.servers.forsake(least, &gone, true);
+            self.servers.abandon_conn(least, &gone, true);
             self.out.push(Output::Close(least));
         }
         true
@@ -482,7 +496,7 @@
         let dial = self.servers.next_dial();
         let timeout = self.servers.dial_timeout;
         let server = self.servers.all.get_mut(&id)?;
-        if server.displaced {
+        if server.address_taken {
             return None;
         }
         server.dials.insert(dial);
@@ -492,7 +506,7 @@
         Some(dial)
     }
 
-    fn stop_dial(&mut self, dial: DialId) {
+    fn cancel_dial(&mut self, dial: DialId) {
         let Some(gone) = self.servers.dials.remove(&dial) else { return };
         self.out.push(Output::StopDial(dial));
         if let Some(server) = self.servers.all.get_mut(&gone.server) {
@@ -513,8 +527,8 @@
         };
         server.dials.remove(&dial);
         server.conns.insert(conn);
-        (server.unreachable, server.pause) = (false, REDIAL.0);
-        (server.fresh_at, server.heard_at) = (now, now);
+        (server.unreachable, server.pause) = (false, REDIAL_PAUSE_US.0);
+        (server.last_connected_at, server.last_received_at) = (now, now);
         let state = ServerConn {
             server: done.server,
             reader: Reader::new(),
@@ -522,19 +536,20 @@
             standing: 0,
             suspect: false,
             opened_at: now,
-            heard_at: now,
-            asked_at: None,
-            used_at: now,
-            partial: None,
+            last_received_at: now,
+            unanswered_since: None,
+            last_used_at: now,
+            partial_since: None,
         };
         self.servers.conns.insert(conn, state);
-        self.servers.forsaken.retain(|_, forsaken| !(forsaken.sound && forsaken.server == done.server));
-        self.write_owed(conn, done.server);
+        self.servers.abandoned.retain(|_, abandoned| !(abandoned.healthy && abandoned.server == done.server));
+        self.send_pending_releases_to(conn, done.server);
         for call in done.waiting {
-            let held = self.calls.get(&call);
-            let late = held.filter(|call| call.attempts > 1).and_then(|call| call.attempt);
-            if late.is_some_and(|attempt| now - attempt.sent > CHOICE_HOLDS) {
-                // It never left; the module chooses anew, with this connection up.
+            let open_call = self.calls.get(&call);
+            let further_attempt = open_call.filter(|call| call.attempts > 1).and_then(|call| call.attempt);
+            if further_attempt.is_some_and(|attempt| now - attempt.sent_at > CHOICE_VALIDITY_US) {
+                // The INVITE was never sent; the module makes a new choice now that this connection is
+                // established.
                 self.end_attempt(call, Outcome::Moot, Reason::None, Report::default());
             } else {
                 self.write_invite(call, conn);
@@ -545,11 +560,11 @@
     pub(crate) fn server_dial_failed(&mut self, dial: DialId, refused: bool) {
         let Some(failed) = self.take_failed_dial(dial) else { return };
         let id = failed.server;
-        let (mut first, mut dead) = (false, false);
+        let (mut first, mut process_gone) = (false, false);
         if let Some(server) = self.servers.all.get_mut(&id) {
             first = !std::mem::replace(&mut server.unreachable, true);
-            // Connections that are still open would have been reset with the process.
-            dead = refused && server.conns.is_empty();
+            // Open connections would have been reset if the process had ended.
+            process_gone = refused && server.conns.is_empty();
         }
         if first {
             let server = self.servers.name(id);
@@ -558,36 +573,36 @@
         for call in failed.waiting {
             self.end_attempt(call, Outcome::Unreachable, Reason::None, Report::default());
         }
-        if dead {
-            self.lose_server(id, "its process is gone");
+        if process_gone {
+            self.server_lost(id, "its process is gone");
         }
-        self.mind_server(id);
+        self.maintain_server(id);
     }
 
-    /// A dial could not be made for want of something here. What waited for it never left; of the server it says
-    /// nothing, so that calls that stand there are not taken for lost.
+    /// Handles a dial that could not be started for a local reason. The INVITEs that waited for it were never
+    /// sent; it says nothing about the server, so calls established there are not considered lost.
     pub(crate) fn server_not_dialled(&mut self, dial: DialId) {
         let Some(failed) = self.take_failed_dial(dial) else { return };
         for call in failed.waiting {
             self.end_attempt(call, Outcome::Moot, Reason::None, Report::default());
         }
-        self.mind_server(failed.server);
+        self.maintain_server(failed.server);
     }
 
-    /// Takes a dial that came to nothing off its server, which is not dialled again before a pause.
+    /// Removes a failed dial from its server, which is not dialled again before a pause.
     fn take_failed_dial(&mut self, dial: DialId) -> Option<Dial> {
         let failed = self.servers.dials.remove(&dial)?;
-        let held = self.servers.all.get(&failed.server).map_or(0, |server| server.pause);
-        let pause = self.spread(held);
+        let full_pause = self.servers.all.get(&failed.server).map_or(0, |server| server.pause);
+        let pause = self.jittered(full_pause);
         if let Some(server) = self.servers.all.get_mut(&failed.server) {
             server.dials.remove(&dial);
-            server.dial_at = self.now + pause;
-            // Where calls stand there is one more look in time, before they count as lost.
-            let last_look = server.heard_at + VANISHED - DIAL;
-            if server.standing > 0 && self.now < last_look {
-                server.dial_at = server.dial_at.min(last_look);
+            server.next_dial_at = self.now + pause;
+            // If calls are established there, one more dial is made in time before they are considered lost.
+            let last_dial = server.last_received_at + SERVER_LOST_TIMEOUT_US - DEFAULT_DIAL_TIMEOUT_US;
+            if server.standing > 0 && self.now < last_dial {
+                server.next_dial_at = server.next_dial_at.min(last_dial);
             }
-            server.pause = (2 * server.pause).min(REDIAL.1);
+            server.pause = (2 * server.pause).min(REDIAL_PAUSE_US.1);
         }
         Some(failed)
     }
@@ -596,8 +611,8 @@
         self.drop_server_conn(conn, None);
     }
 
-    /// A connection is no more: the set-ups open on it may have run. `why` tells what is wrong with one that the
-    /// other side did not close.
+    /// Handles the loss of a connection, whose open set-ups may have been carried out. `why` gives the fault
+    /// if the other side did not close it.
     fn drop_server_conn(&mut self, conn: ConnId, why: Option<&'static str>) {
         let Some(gone) = self.servers.conns.remove(&conn) else { return };
         let id = gone.server;
@@ -605,51 +620,55 @@
             server.conns.remove(&conn);
         }
         if let Some(why) = why {
-            self.servers.forsake(conn, &gone, false);
+            self.servers.abandon_conn(conn, &gone, false);
             let server = self.servers.name(id);
             self.notice(Notice::ServerConn { server, why, open: gone.open.len() });
         }
         for call in gone.open {
-            let held = self.calls.get(&call).map(|call| (call.id.clone(), call.called.clone()));
+            let ids = self.calls.get(&call).map(|call| (call.id.clone(), call.called.clone()));
             self.releases.abandon(self.now, call, id);
-            if let Some((text, called)) = held {
-                // It may have been answered: whatever stands there is of no use to anybody.
-                self.release_elsewhere(id, &text, &called, conn);
+            if let Some((call_id, called)) = ids {
+                // It may have been answered: a call established there is of no use to its caller.
+                self.release_elsewhere(id, &call_id, &called, conn);
             }
             self.end_attempt(call, Outcome::Reset, Reason::None, Report::default());
         }
         if why.is_some() {
-            // What waits is still written before a close: the set-ups among it have been taken back.
+            // Pending bytes are still written before a close; unsent set-ups among them have been withdrawn.
             self.out.push(Output::Close(conn));
         }
-        self.mind_server(id);
-        self.refresh(id);
+        self.maintain_server(id);
+        self.open_fresh_conn(id);
     }
 
-    /// A server that holds calls gets a new connection: releases that went the way of a lost one come on it again.
-    fn refresh(&mut self, id: ServerId) {
+    /// Opens a new connection to a server with established calls: releases that were lost with another
+    /// connection are repeated on it.
+    fn open_fresh_conn(&mut self, id: ServerId) {
         let needed = self.servers.all.get(&id).is_some_and(|server| {
-            server.standing > 0 && server.dials.is_empty() && !server.displaced && self.now >= server.dial_at
+            server.standing > 0
+                && server.dials.is_empty()
+                && !server.address_taken
+                && self.now >= server.next_dial_at
         });
         if needed && self.make_room(id) {
             self.dial_server(id);
         }
     }
 
-    /// Closes a connection that is suspect once nothing is open on it.
-    pub(crate) fn mind_server_conn(&mut self, conn: ConnId) {
-        let done = self.servers.conns.get(&conn).is_some_and(|conn| conn.suspect && conn.open.is_empty());
-        if done {
+    /// Closes a suspect connection once no set-up is open on it.
+    pub(crate) fn close_suspect_conn(&mut self, conn: ConnId) {
+        let unused = self.servers.conns.get(&conn).is_some_and(|conn| conn.suspect && conn.open.is_empty());
+        if unused {
             self.drop_server_conn(conn, Some("it is silent"));
         }
     }
 
-    /// Sees to it that a server that is needed has a connection, and that one that is not is forgotten.
-    fn mind_server(&mut self, id: ServerId) {
+    /// Ensures that a server in use has a connection, and removes a server that is no longer in use.
+    fn maintain_server(&mut self, id: ServerId) {
         let now = self.now;
         let Some(server) = self.servers.all.get(&id) else { return };
-        let held = server.standing > 0 || !server.owed.is_empty();
-        if server.availability == Availability::Gone && !held {
+        let in_use = server.standing > 0 || !server.pending_releases.is_empty();
+        if server.availability == Availability::Gone && !in_use {
             let busy = server
                 .conns
                 .iter()
@@ -659,25 +678,28 @@
             }
             return;
         }
-        let bare = server.conns.is_empty() && server.dials.is_empty();
-        if bare && server.displaced {
-            return self.lose_server(id, "another server stands at its address");
-        }
-        // Where servers with calls outnumber the connections there may be, they take turns: what one could
-        // not tell it tells when its turn comes.
-        let turn = !server.owed.is_empty() || server.standing > 0 && now - server.fresh_at > CHECK;
-        if bare && now >= server.dial_at && (!self.servers.is_full() || turn && self.make_room(id)) {
+        let unconnected = server.conns.is_empty() && server.dials.is_empty();
+        if unconnected && server.address_taken {
+            return self.server_lost(id, "another server stands at its address");
+        }
+        // If more servers have calls than connections are allowed, they take turns: each reports on its turn
+        // what it could not report before.
+        let its_turn = !server.pending_releases.is_empty()
+            || server.standing > 0 && now - server.last_connected_at > FRESH_CONN_INTERVAL_US;
+        if unconnected
+            && now >= server.next_dial_at
+            && (!self.servers.is_full() || its_turn && self.make_room(id))
+        {
             self.dial_server(id);
         }
     }
 
-    /// The process that held a server's calls is no more: they are over, and there is nobody to release them
-    /// to.
-    fn lose_server(&mut self, id: ServerId, why: &'static str) {
+    /// Handles the end of a server's process: its calls have ended, and nothing can be released there.
+    fn server_lost(&mut self, id: ServerId, why: &'static str) {
         if let Some(server) = self.servers.all.get_mut(&id) {
-            server.owed.clear();
+            server.pending_releases.clear();
         }
-        self.lose_standing(id, Micros::MAX, why);
+        self.end_lost_calls(id, Micros::MAX, why);
     }
 
     fn forget_server(&mut self, id: ServerId) {
@@ -696,13 +718,14 @@
     // ---- Releases toward servers ----
 
     fn write_release(&mut self, conn: ConnId, id: &str, called: &str, cause: u16) {
-        let bytes = dialog(Method::Bye, &self.name, id, called, 100)
+        let bytes = dialog_request(Method::Bye, &self.name, id, called, 100)
             .header("Reason", format_args!("Q.850;cause={cause}"))
             .finish(b"");
         self.send(conn, bytes);
     }
 
-    /// Releases a call at its server: on a connection of its own choice, else on any, else on the next.
+    /// Releases a call at its server: on the connection of its set-up, otherwise on any healthy connection,
+    /// otherwise on the next one that is established.
     pub(crate) fn release_at_server(
         &mut self,
         server: ServerId,
@@ -711,35 +734,38 @@
         cause: u16,
         conn: Option<ConnId>,
     ) {
-        let own = conn.filter(|conn| self.servers.conns.get(conn).is_some_and(|conn| !conn.suspect));
-        if let Some(conn) = own.or_else(|| self.servers.sound_conn(server, None)) {
+        let set_up_conn = conn.filter(|conn| self.servers.conns.get(conn).is_some_and(|conn| !conn.suspect));
+        if let Some(conn) = set_up_conn.or_else(|| self.servers.healthy_conn(server, None)) {
             return self.write_release(conn, id, called, cause);
         }
         if let Some(server) = self.servers.all.get_mut(&server) {
-            if server.owed.len() < RELEASES {
-                server.owed.push((id.to_owned(), called.to_owned(), cause));
+            if server.pending_releases.len() < MAX_RELEASES {
+                server.pending_releases.push((id.to_owned(), called.to_owned(), cause));
             }
         }
     }
 
-    /// Writes the releases that had no way to a server until now.
-    fn write_owed(&mut self, conn: ConnId, server: ServerId) {
-        let Some(server) = self.servers.all.get_mut(&server).filter(|server| !server.owed.is_empty()) else {
+    /// Sends the releases that could not be sent to a server until now.
+    fn send_pending_releases_to(&mut self, conn: ConnId, server: ServerId) {
+        let Some(server) =
+            self.servers.all.get_mut(&server).filter(|server| !server.pending_releases.is_empty())
+        else {
             return;
         };
-        for (id, called, cause) in std::mem::take(&mut server.owed) {
+        for (id, called, cause) in std::mem::take(&mut server.pending_releases) {
             self.write_release(conn, &id, &called, cause);
         }
     }
 
-    /// Releases what may stand of a given-up attempt on a connection other than its own, if one is sound.
-    pub(crate) fn release_elsewhere(&mut self, server: ServerId, id: &str, called: &str, but: ConnId) {
-        if let Some(conn) = self.servers.sound_conn(server, Some(but)) {
+    /// Releases the call that may have resulted from a given-up attempt, on a healthy connection other than
+    /// the attempt's own, if there is one.
+    pub(crate) fn release_elsewhere(&mut self, server: ServerId, id: &str, called: &str, except: ConnId) {
+        if let Some(conn) = self.servers.healthy_conn(server, Some(except)) {
             self.write_release(conn, id, called, 16);
         }
     }
 
-    // ---- From servers ----
+    // ---- Messages from servers ----
 
     pub(crate) fn server_bytes(&mut self, conn: ConnId, bytes: &[u8]) {
         let now = self.now;
@@ -749,27 +775,27 @@
         while let Some(state) = self.servers.conns.get_mut(&conn) {
             match state.reader.next_message() {
                 Ok(Some(_)) if !state.reader.follows_well() => {
-                    self.stats.bad_servers += 1;
-                    return self.drop_server_conn(conn, Some("what follows a message is none"));
+                    self.stats.bad_server_messages += 1;
+                    return self.drop_server_conn(conn, Some("data after a message is not a SIP message"));
                 }
                 Ok(Some(message)) => {
                     let server = state.server;
-                    (state.heard_at, state.asked_at) = (now, None);
-                    (state.suspect, state.partial) = (false, None);
+                    (state.last_received_at, state.unanswered_since) = (now, None);
+                    (state.suspect, state.partial_since) = (false, None);
                     if let Some(server) = self.servers.all.get_mut(&server) {
-                        server.heard_at = now;
+                        server.last_received_at = now;
                     }
-                    self.write_owed(conn, server);
+                    self.send_pending_releases_to(conn, server);
                     self.server_message(conn, server, message);
                 }
                 Ok(None) => {
-                    // What trickles has not stopped: how long a set-up may wait for it is the module's to
-                    // say.
-                    state.partial = state.reader.is_partial().then_some(now);
+                    // A message that arrives slowly has not stopped: the module decides how long a set-up may
+                    // wait for it.
+                    state.partial_since = state.reader.is_partial().then_some(now);
                     return;
                 }
                 Err(malformed) => {
-                    self.stats.bad_servers += 1;
+                    self.stats.bad_server_messages += 1;
                     return self.drop_server_conn(conn, Some(malformed.fault.as_str()));
                 }
             }
@@ -779,16 +805,16 @@
     fn server_message(&mut self, conn: ConnId, server: ServerId, message: Message) {
         if let (true, Some(report)) = (self.tracing, message.header("X-Occupancy")) {
             let (name, report) = (self.servers.name(server), report.to_owned());
-            let held = self.controller.view(server).unwrap_or_default();
-            self.notice(Notice::Told { server: name, report, held });
+            let previous_view = self.controller.view(server).unwrap_or_default();
+            self.notice(Notice::LoadReport { server: name, report, previous_view });
         }
         match message.start() {
             Start::Response { code } => {
                 let code = *code;
                 match message.cseq().map(|cseq| cseq.method) {
                     Some(Method::Invite) => self.server_answers(conn, server, code, &message),
-                    Some(Method::Options) => self.tested(server, code, &message),
-                    // Releases and withdrawals that were heard.
+                    Some(Method::Options) => self.probe_answered(server, code, &message),
+                    // Responses to BYE and CANCEL need no action.
                     _ => {}
                 }
             }
@@ -796,7 +822,7 @@
                 Method::Bye => self.server_releases(conn, server, &message),
                 Method::Notify => {
                     let report = report_of(&message);
-                    self.tell(Event::Probed { server, outcome: Outcome::Ok, lag: 0, report });
+                    self.queue_event(Event::Probed { server, outcome: Outcome::Ok, lag: 0, report });
                 }
                 Method::Options => self.send(conn, response(200, "OK", &message).finish(b"")),
                 _ => {}
@@ -805,29 +831,29 @@
     }
 
     fn server_answers(&mut self, conn: ConnId, server: ServerId, code: u16, message: &Message) {
-        let Some((_, number)) = invite::id(message) else { return };
+        let Some((_, number)) = invite::call_id(message) else { return };
         let id = CallId(number);
         if code < 200 {
             return;
         }
-        // The platform's servers tell answers apart by call and method alone: whatever number they put into CSeq,
-        // the connection tells which attempt it is.
+        // The platform's servers match answers by call and method alone: whatever number they put into CSeq,
+        // only the connection tells which attempt an answer belongs to.
         let out = self.calls.get(&id).and_then(|call| call.attempt);
-        if out.is_none_or(|out| out.carrier != Carrier::Conn(conn)) {
+        if out.is_none_or(|out| out.path != AttemptPath::Conn(conn)) {
             return self.late_answer(conn, server, id, code, message);
         }
-        if code < 300 && !description::is_whole(message.body()) {
-            self.stats.bad_servers += 1;
-            return self.drop_server_conn(conn, Some("an answer's description is not whole"));
+        if code < 300 && !description::is_complete(message.body()) {
+            self.stats.bad_server_messages += 1;
+            return self.drop_server_conn(conn, Some("incomplete session description in an answer"));
         }
         self.acknowledge(conn, message);
         let reason = message.header("X-Diagnosis").unwrap_or_default();
         let lag = message.header("X-Lag").and_then(|lag| lag.trim().parse::<f64>().ok());
         let wait = lag.filter(|lag| lag.is_finite()).map_or(0, |lag| (lag * 1e3) as Micros);
         let (reason, report) = (diagnosis(reason, wait), report_of(message));
-        // A second copy of it must find no further attempt of the call on this connection.
+        // A second copy of this answer must not find a further attempt of the call on this connection.
         if let Some(call) = self.calls.get_mut(&id) {
-            call.spent.push(conn);
+            call.used_conns.push(conn);
         }
         let outcome = match code {
             200..300 => return self.attempt_answered(id, conn, message),
@@ -839,7 +865,8 @@
         self.end_attempt(id, outcome, reason, report);
     }
 
-    /// An answer that nobody waits for: a second copy, or one to an attempt that was given up.
+    /// Handles an answer that no attempt waits for: a second copy, or the answer to an attempt that was given
+    /// up.
     fn late_answer(&mut self, conn: ConnId, server: ServerId, id: CallId, code: u16, message: &Message) {
         if !self.releases.abandoned_answered(id, server) {
             return self.trace_id(id, &format!("{code} of server {} is nobody's", server.0));
@@ -851,7 +878,7 @@
         let further = self.calls.get_mut(&id);
         let further = further.filter(|call| call.attempt.is_some_and(|out| out.server == server));
         if let Some(call) = further {
-            // Servers tell calls by their id alone: a release now could end the further attempt.
+            // Servers identify calls by their id alone: a release now could end the further attempt.
             if !call.superseded.contains(&(server, conn)) {
                 call.superseded.push((server, conn));
             }
@@ -862,19 +889,19 @@
             return;
         }
         self.trace_id(id, "answered after it was given up: released");
-        if let Some((text, _)) = invite::id(message) {
-            self.write_release(conn, text, "late", 16);
+        if let Some((call_id, _)) = invite::call_id(message) {
+            self.write_release(conn, call_id, "late", 16);
         }
     }
 
     fn acknowledge(&mut self, conn: ConnId, message: &Message) {
-        let (Some((id, _)), Some(cseq)) = (invite::id(message), message.cseq()) else { return };
-        let bytes = dialog(Method::Ack, &self.name, id, "call", cseq.number).finish(b"");
+        let (Some((id, _)), Some(cseq)) = (invite::call_id(message), message.cseq()) else { return };
+        let bytes = dialog_request(Method::Ack, &self.name, id, "call", cseq.number).finish(b"");
         self.send(conn, bytes);
     }
 
     fn server_releases(&mut self, conn: ConnId, server: ServerId, message: &Message) {
-        let Some((_, number)) = invite::id(message) else { return };
+        let Some((_, number)) = invite::call_id(message) else { return };
         let (id, cause) = (CallId(number), cause_of(message));
         self.send(conn, response(200, "OK", message).finish(b""));
         let report = report_of(message);
@@ -884,96 +911,102 @@
             if let Some(standing) = self.end_standing(id, outcome, report) {
                 self.trace(&standing.id, || format!("released by server {}, cause {cause}", server.0));
                 self.release_to_caller(id, standing.id, standing.called, cause, standing.caller);
-                self.mind_server(server);
+                self.maintain_server(server);
             }
-        } else if out.is_some_and(|out| out.server == server && out.carrier == Carrier::Conn(conn)) {
-            // Should it answer all the same, that is released.
+        } else if out.is_some_and(|out| out.server == server && out.path == AttemptPath::Conn(conn)) {
+            // If the server answers nevertheless, that call is released.
             self.releases.abandon(self.now, id, server);
             if let Some(call) = self.calls.get_mut(&id) {
-                call.spent.push(conn);
+                call.used_conns.push(conn);
             }
             self.end_attempt(id, Outcome::Reset, Reason::None, report);
         } else if out.is_none() && !self.releases.was_abandoned(id, server) {
-            // It may stand since before this process did.
+            // The call may have been established before this process started.
             let now = self.now;
-            self.releases.keep_unknown(now, id, cause);
+            self.releases.record_unknown(now, id, cause);
         }
     }
 
     // ---- Tests ----
 
-    /// The module wants to know how a server is.
+    /// Tests a server at the module's request.
     pub(crate) fn probe(&mut self, server: ServerId) {
         let now = self.now;
-        let Some(conn) = self.servers.sound_conn(server, None) else {
+        let Some(conn) = self.servers.healthy_conn(server, None) else {
             let report = Report::default();
-            return self.tell(Event::Probed { server, outcome: Outcome::Unreachable, lag: 0, report });
+            return self.queue_event(Event::Probed { server, outcome: Outcome::Unreachable, lag: 0, report });
         };
         let id = format!("{:016x}", now as u64);
-        let bytes = dialog(Method::Options, &self.name, &id, "ping", 1).finish(b"");
+        let bytes = dialog_request(Method::Options, &self.name, &id, "ping", 1).finish(b"");
         self.send(conn, bytes);
     }
 
-    fn tested(&mut self, server: ServerId, code: u16, message: &Message) {
-        let sent = invite::id(message).map_or(self.now, |(_, at)| at as Micros);
+    fn probe_answered(&mut self, server: ServerId, code: u16, message: &Message) {
+        let sent_at = invite::call_id(message).map_or(self.now, |(_, at)| at as Micros);
         let outcome = if (200..300).contains(&code) { Outcome::Ok } else { Outcome::Full };
-        let lag = (self.now - sent).max(0);
-        self.tell(Event::Probed { server, outcome, lag, report: report_of(message) });
+        let lag = (self.now - sent_at).max(0);
+        self.queue_event(Event::Probed { server, outcome, lag, report: report_of(message) });
     }
 
-    // ---- The regular look ----
+    // ---- Maintenance ----
 
-    /// Tells where each server stands.
-    pub(crate) fn tell_servers(&mut self) {
+    /// Logs the state of each server.
+    pub(crate) fn log_servers(&mut self) {
         let lines: Vec<_> = self.servers.all.values().map(Server::notice).collect();
         lines.into_iter().for_each(|line| self.notice(line));
     }
 
-    pub(crate) fn sweep_servers(&mut self) {
+    pub(crate) fn maintain_servers(&mut self) {
         let now = self.now;
-        let (mut stuck, mut mute) = (Vec::new(), BTreeSet::new());
+        let (mut to_close, mut silent) = (Vec::new(), BTreeSet::new());
         for (&id, conn) in &self.servers.conns {
-            let own = self.servers.all.get(&conn.server).map_or(0, |server| server.conns.len());
+            let own_conns = self.servers.all.get(&conn.server).map_or(0, |server| server.conns.len());
             let idle = conn.open.is_empty()
                 && conn.standing == 0
-                && now - conn.used_at.max(conn.opened_at) > IDLE_SERVER;
-            if conn.partial.is_some_and(|since| now - since > PARTIAL_ANSWER) {
-                stuck.push((id, "a message stopped short"));
-            } else if conn.asked_at.is_some_and(|at| now - at > MUTE) {
+                && now - conn.last_used_at.max(conn.opened_at) > SERVER_CONN_IDLE_TIMEOUT_US;
+            if conn.partial_since.is_some_and(|since| now - since > PARTIAL_MESSAGE_TIMEOUT_US) {
+                to_close.push((id, "a message stayed incomplete"));
+            } else if conn.unanswered_since.is_some_and(|at| now - at > UNANSWERED_CONN_TIMEOUT_US) {
                 if conn.open.is_empty() {
-                    stuck.push((id, "it is silent"));
+                    to_close.push((id, "it is silent"));
                 } else if conn.standing > 0 {
-                    mute.insert(conn.server);
+                    silent.insert(conn.server);
                 }
-            } else if idle && own > self.servers.kept() {
-                stuck.push((id, "idle"));
+            } else if idle && own_conns > self.servers.idle_conns_kept() {
+                to_close.push((id, "idle"));
             }
         }
-        for (conn, why) in stuck {
+        for (conn, why) in to_close {
             let left = self.servers.conns.get(&conn).and_then(|conn| self.servers.all.get(&conn.server));
-            if why != "idle" || left.is_some_and(|server| server.conns.len() > self.servers.kept()) {
+            if why != "idle" || left.is_some_and(|server| server.conns.len() > self.servers.idle_conns_kept())
+            {
                 self.drop_server_conn(conn, Some(why));
             }
         }
-        let heard = self.servers.surely_heard();
-        for id in self.servers.in_own_order() {
+        let received_until = self.servers.received_until();
+        for id in self.servers.in_rotated_order() {
             let Some(server) = self.servers.all.get(&id) else { continue };
-            let held = server.standing > 0;
-            // One that is listed may come back and still hold what it is owed the releases of.
-            let owing = server.availability == Availability::Gone && !server.owed.is_empty();
-            let check = if mute.contains(&id) && self.servers.room(id) { MUTE } else { CHECK };
-            let heard = heard.get(&id).copied().unwrap_or(server.heard_at);
-            let stale = held && now - server.fresh_at.max(heard) > check;
-            // One that only takes nothing new goes on speaking of what it has.
-            let vanished = server.unreachable && now - server.heard_at > VANISHED;
-            if owing && vanished {
-                self.lose_server(id, "it can't be reached");
-            } else if held && vanished {
-                self.lose_standing(id, Micros::MAX, "it can't be reached");
-            } else if stale {
-                self.refresh(id);
+            let has_calls = server.standing > 0;
+            // A server that is still listed may come back and still hold the calls to be released.
+            let releases_pending =
+                server.availability == Availability::Gone && !server.pending_releases.is_empty();
+            let interval = if silent.contains(&id) && self.servers.has_room(id) {
+                UNANSWERED_CONN_TIMEOUT_US
+            } else {
+                FRESH_CONN_INTERVAL_US
+            };
+            let received_at = received_until.get(&id).copied().unwrap_or(server.last_received_at);
+            let needs_fresh_conn = has_calls && now - server.last_connected_at.max(received_at) > interval;
+            // A server that only refuses new calls still reports on its established ones.
+            let lost = server.unreachable && now - server.last_received_at > SERVER_LOST_TIMEOUT_US;
+            if releases_pending && lost {
+                self.server_lost(id, "it cannot be reached");
+            } else if has_calls && lost {
+                self.end_lost_calls(id, Micros::MAX, "it cannot be reached");
+            } else if needs_fresh_conn {
+                self.open_fresh_conn(id);
             }
-            self.mind_server(id);
+            self.maintain_server(id);
         }
     }
 }
@@ -986,7 +1019,7 @@
 mod tests {
     use super::*;
 
-    fn conn(heard_at: Micros) -> ServerConn {
+    fn conn(last_received_at: Micros) -> ServerConn {
         ServerConn {
             server: ServerId(0),
             reader: Reader::new(),
@@ -994,15 +1027,15 @@
             standing: 0,
             suspect: false,
             opened_at: 0,
-            heard_at,
-            asked_at: None,
-            used_at: 0,
-            partial: None,
+            last_received_at,
+            unanswered_since: None,
+            last_used_at: 0,
+            partial_since: None,
         }
     }
 
     #[test]
-    fn set_ups_go_out_on_the_connection_with_the_least_on_it_that_is_sound_and_not_spent() {
+    fn picks_least_busy_healthy_connection_not_used_by_the_call() {
         let mut servers = Servers::new(256, 0, &[], 1, 0);
         let conns = (1..=4).map(ConnId);
         let server = Server {
@@ -1013,30 +1046,37 @@
             conns: conns.clone().collect(),
             dials: BTreeSet::new(),
             standing: 0,
-            owed: Vec::new(),
-            fresh_at: 0,
-            heard_at: 0,
+            pending_releases: Vec::new(),
+            last_connected_at: 0,
+            last_received_at: 0,
             unreachable: false,
             pause: 0,
-            dial_at: 0,
-            displaced: false,
+            next_dial_at: 0,
+            address_taken: false,
         };
         servers.all.insert(ServerId(0), server);
         for id in conns {
             servers.conns.insert(id, conn(id.0 as Micros));
         }
         assert_eq!(
-            servers.choose(ServerId(0), &[]),
+            servers.best_conn(ServerId(0), &[]),
+            Some(ConnId(4)),
+            "of the idle connections the one received on last"
+        );
+        servers.set_up_sent(ConnId(4), CallId(1), 9);
+        assert_eq!(servers.best_conn(ServerId(0), &[]), Some(ConnId(3)));
+        assert_eq!(servers.best_conn(ServerId(0), &[ConnId(3)]), Some(ConnId(2)));
+        assert!(servers.suspect_if_silent(ConnId(2), 5, 5 + SUSPECT_SILENCE_US), "nothing came since");
+        assert_eq!(servers.best_conn(ServerId(0), &[ConnId(3)]), Some(ConnId(1)));
+        assert!(
+            !servers.suspect_if_silent(ConnId(3), 2, 2 + SUSPECT_SILENCE_US),
+            "a message was received since"
+        );
+        assert_eq!(
+            servers.best_conn(ServerId(0), &[ConnId(1), ConnId(3)]),
             Some(ConnId(4)),
-            "of those that are free the one heard last"
+            "busy, but healthy"
         );
-        servers.opened(ConnId(4), CallId(1), 9);
-        assert_eq!(servers.choose(ServerId(0), &[]), Some(ConnId(3)));
-        assert_eq!(servers.choose(ServerId(0), &[ConnId(3)]), Some(ConnId(2)));
-        assert!(servers.doubt(ConnId(2), 5, 5 + SILENCE), "nothing came since");
-        assert_eq!(servers.choose(ServerId(0), &[ConnId(3)]), Some(ConnId(1)));
-        assert!(!servers.doubt(ConnId(3), 2, 2 + SILENCE), "it was heard since");
-        assert_eq!(servers.choose(ServerId(0), &[ConnId(1), ConnId(3)]), Some(ConnId(4)), "busy, but sound");
-        assert_eq!(servers.choose(ServerId(0), &[ConnId(1), ConnId(3), ConnId(4)]), None);
+        assert_eq!(servers.best_conn(ServerId(0), &[ConnId(1), ConnId(3), ConnId(4)]), None);
     }
 }
--- a/crates/lemoncleat-access/src/sweep.rs
+++ b/crates/lemoncleat-access/src/sweep.rs
@@ -1,27 +1,29 @@
-//! The regular look at everything that grows old, and the end of the node.
+//! Periodic maintenance of all tables, and the orderly shutdown of the node.
 
 use lemoncleat_core::Micros;
 
 use crate::interface::Output;
 use crate::node::{AccessNode, Timer};
 use crate::notice::Notice;
-use crate::timing::{STOP_AFTER, STOP_STANDING, SWEEP, TELL_TABLES};
+use crate::timing::{
+    MAINTENANCE_INTERVAL_US, MIN_SHUTDOWN_US, SHUTDOWN_RELEASE_GRACE_US, TABLE_SIZES_LOG_INTERVAL_US,
+};
 
 impl AccessNode {
-    pub(crate) fn sweep(&mut self) {
-        self.wheel.set(self.now + SWEEP, Timer::Sweep);
-        self.sweep_callers();
-        self.sweep_servers();
-        self.sweep_releases();
-        self.sweep_journal();
-        if self.now - self.told_at >= TELL_TABLES {
-            self.told_at = self.now;
-            self.tell_tables();
+    pub(crate) fn run_maintenance(&mut self) {
+        self.wheel.set(self.now + MAINTENANCE_INTERVAL_US, Timer::Maintenance);
+        self.maintain_callers();
+        self.maintain_servers();
+        self.maintain_releases();
+        self.maintain_journal();
+        if self.now - self.sizes_logged_at >= TABLE_SIZES_LOG_INTERVAL_US {
+            self.sizes_logged_at = self.now;
+            self.log_table_sizes();
         }
-        self.mind_stop();
+        self.check_shutdown();
     }
 
-    fn tell_tables(&mut self) {
+    fn log_table_sizes(&mut self) {
         let notice = Notice::Tables {
             callers: self.callers.conns.len(),
             open: self.calls.len(),
@@ -36,11 +38,12 @@
         };
         self.notice(notice);
         if self.tracing {
-            self.tell_servers();
+            self.log_servers();
         }
     }
 
-    /// The node is to end: from now on tests fail, and all that was taken is answered.
+    /// Begins the orderly shutdown: from now on OPTIONS tests are answered with 503, and every set-up that
+    /// was or will be received is still answered.
     pub(crate) fn terminate(&mut self) {
         if self.stopping.is_none() {
             self.stopping = Some(self.now);
@@ -48,17 +51,18 @@
         }
     }
 
-    fn mind_stop(&mut self) {
+    fn check_shutdown(&mut self) {
         let Some(since) = self.stopping else { return };
         let age: Micros = self.now - since;
-        let owed = self.releases.len() + self.servers.owed_len();
-        let silent = self.standing.is_empty() && owed == 0;
-        let late = age > self.longest_deadline + STOP_STANDING;
-        if age >= STOP_AFTER && self.calls.is_empty() && (silent || late) {
+        let owed = self.releases.len() + self.servers.pending_releases_len();
+        let nothing_owed = self.standing.is_empty() && owed == 0;
+        let grace_over = age > self.max_deadline + SHUTDOWN_RELEASE_GRACE_US;
+        if age >= MIN_SHUTDOWN_US && self.calls.is_empty() && (nothing_owed || grace_over) {
             if !std::mem::replace(&mut self.stopped, true) {
-                self.tell_tables();
+                self.log_table_sizes();
             }
-            // Again at each look: what still arrives until the driver ends is taken, and this waits for it.
+            // Reported again at every maintenance run: a set-up that arrives before the driver ends is still
+            // accepted, and `Stopped` is withheld until it is answered.
             self.out.push(Output::Stopped);
         }
     }
--- a/crates/lemoncleat-access/src/timing.rs
+++ b/crates/lemoncleat-access/src/timing.rs
@@ -1,73 +1,76 @@
-//! Times and bounds of the protocol's work. None of them chooses a route.
+//! Time limits and size limits of the protocol core. None of them affects the choice of a route.
 
 use lemoncleat_core::Micros;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-/// The module's deadline lies this much before the caller's, so that its answer arrives in time.
-pub const ANSWER_MARGIN: Micros = 30 * MS;
-/// The longest time that a caller may say it waits.
-pub const LONGEST_TIMER_MS: f64 = 600_000.0;
-/// Between two looks at connections.
-pub const SWEEP: Micros = 100 * MS;
-/// A caller's connection that has brought nothing of use for this long after it was accepted is closed; so is
-/// one whose message stays unfinished for as long.
-pub const SILENT_CALLER: Micros = 2 * SECOND;
-/// A caller's connection without an open set-up is closed after this long without a message, ...
-pub const IDLE_CALLER: Micros = 10 * SECOND;
-/// ... and after this long where an acknowledged call stands: there may be no other connection for its
-/// release.
-pub const HOLDING_CALLER: Micros = 2 * IDLE_CALLER;
-/// An answer that its caller has not acknowledged when it closes its connection crossed the close if it is no
-/// older than this. An older one without an ACK says nothing: the ACK may have been lost, and the call be in
-/// use.
-pub const CROSSED: Micros = 500 * MS;
-/// Messages that can't be used before a caller's connection is closed.
-pub const BAD_MESSAGES: u32 = 8;
-/// A server's message stays unfinished for this long: the rest won't come.
-pub const PARTIAL_ANSWER: Micros = 400 * MS;
-/// A set-up given up after this, with nothing heard on its connection, makes the connection suspect.
-pub const SILENCE: Micros = 150 * MS;
-/// A connection on which nothing was heard for this long since a set-up went out there may be dead, whatever became
-/// of the set-up: what else its server tells on it needs another way.
-pub const MUTE: Micros = 400 * MS;
-/// How long a dial takes at most where the settings say nothing.
-pub const DIAL: Micros = 500 * MS;
-/// Pauses between dials to a server that has no connection: the first, and the longest.
-pub const REDIAL: (Micros, Micros) = (50 * MS, SECOND);
-/// A server that holds calls and is not heard on a connection of theirs gets a new one this often: a release that
-/// went out on one that has silently died comes on it again, and a machine that has vanished shows. Servers tell
-/// their state every second on open connections, so a sound one is hardly ever silent for as long.
-pub const CHECK: Micros = 2 * SECOND;
-/// A server that can't be reached, and has said nothing for this long, has lost its calls.
-pub const VANISHED: Micros = 7 * SECOND;
-/// Connections to a server with nothing open on them, beyond the first few, are closed after this.
-pub const IDLE_SERVER: Micros = 6 * SECOND;
-/// Connections to a server that are kept however idle: as many as its news of free lines come on, where the fleet
-/// is small enough for that.
-pub const KEPT: usize = 4;
-/// The journal service tells its last number every second; after this it counts as silent.
-pub const JOURNAL_SILENT: Micros = 2_200 * MS;
+/// The module's deadline is this much earlier than the caller's, so that its answer arrives in time.
+pub const ANSWER_MARGIN_US: Micros = 30 * MS;
+/// Maximum value of `X-Timer-Ms`, the time that a caller waits for an answer.
+pub const MAX_CALLER_TIMER_MS: f64 = 600_000.0;
+/// Interval between two maintenance runs.
+pub const MAINTENANCE_INTERVAL_US: Micros = 100 * MS;
+/// A caller's connection is closed if it has received nothing useful for this long after it was accepted, or
+/// if a message on it stays incomplete for this long.
+pub const CALLER_MESSAGE_TIMEOUT_US: Micros = 2 * SECOND;
+/// A caller's connection without an open set-up is closed after this time without a message, ...
+pub const CALLER_IDLE_TIMEOUT_US: Micros = 10 * SECOND;
+/// ... and after this time if an acknowledged call is established on it: there may be no other connection for
+/// its release.
+pub const CALLER_WITH_CALL_IDLE_TIMEOUT_US: Micros = 2 * CALLER_IDLE_TIMEOUT_US;
+/// If a caller closes its connection, an answer that it has not acknowledged is treated as unread if it is
+/// not older than this. An older answer without an ACK proves nothing: the ACK may have been lost, and the
+/// call be in use.
+pub const CROSSED_ANSWER_WINDOW_US: Micros = 500 * MS;
+/// Number of unusable messages after which a caller's connection is closed.
+pub const MAX_UNUSABLE_MESSAGES: u32 = 8;
+/// An incomplete message from a server is given up after this time: the rest will not arrive.
+pub const PARTIAL_MESSAGE_TIMEOUT_US: Micros = 400 * MS;
+/// A connection becomes suspect if a set-up on it is given up after this time without anything received on
+/// it.
+pub const SUSPECT_SILENCE_US: Micros = 150 * MS;
+/// A connection on which nothing was received for this long since a set-up was sent on it may be dead,
+/// whatever the outcome of the set-up: other messages of its server need a further connection.
+pub const UNANSWERED_CONN_TIMEOUT_US: Micros = 400 * MS;
+/// Time limit of a dial if the settings give none.
+pub const DEFAULT_DIAL_TIMEOUT_US: Micros = 500 * MS;
+/// Pauses between dials to a server without a connection: the first, and the longest.
+pub const REDIAL_PAUSE_US: (Micros, Micros) = (50 * MS, SECOND);
+/// A server with established calls gets a new connection at this interval if nothing is received on the
+/// connections of those calls. A release that was sent on a connection that died unnoticed is repeated on the
+/// new one, and a machine that has vanished is detected. Servers report their state every second on open
+/// connections, so a healthy connection is rarely silent for this long.
+pub const FRESH_CONN_INTERVAL_US: Micros = 2 * SECOND;
+/// The calls of a server that cannot be reached are considered lost after nothing was received from it for
+/// this time.
+pub const SERVER_LOST_TIMEOUT_US: Micros = 7 * SECOND;
+/// Connections to a server without open set-ups, beyond the first few, are closed after this time.
+pub const SERVER_CONN_IDLE_TIMEOUT_US: Micros = 6 * SECOND;
+/// Number of connections to a server that are kept even when idle: as many as the server reports its free
+/// lines on, provided that the fleet is small enough.
+pub const IDLE_CONNS_KEPT: usize = 4;
+/// The journal service sends its last event number every second; it counts as silent after this time.
+pub const JOURNAL_SILENCE_TIMEOUT_US: Micros = 2_200 * MS;
 /// Pauses between dials to the journal service: the first, and the longest.
-pub const JOURNAL_REDIAL: (Micros, Micros) = (50 * MS, SECOND);
-/// How long a dial to the journal service may take.
-pub const JOURNAL_DIAL: Micros = SECOND;
-/// The longest line of the journal service.
-pub const JOURNAL_LINE: usize = 1 << 20;
-/// A release that a caller did not confirm is sent again on another connection after this, ...
-pub const RELEASE_AGAIN: Micros = 150 * MS;
-/// ... this many times, ...
-pub const RELEASE_TRIES: usize = 6;
-/// ... and forgotten after this.
-pub const RELEASE_KEPT: Micros = 12 * SECOND;
-/// Releases of calls that nobody here knows yet are kept this long.
-pub const UNKNOWN_KEPT: Micros = 20 * SECOND;
-/// Releases kept in each of these tables at most.
-pub const RELEASES: usize = 4_096;
-/// A stopping node stays at least this long, for what still arrives.
-pub const STOP_AFTER: Micros = 900 * MS;
-/// A stopping node passes releases of standing calls on for this long beyond the longest deadline.
-pub const STOP_STANDING: Micros = 20 * SECOND;
-/// Between two lines of the log on the sizes of tables.
-pub const TELL_TABLES: Micros = 10 * SECOND;
+pub const JOURNAL_REDIAL_PAUSE_US: (Micros, Micros) = (50 * MS, SECOND);
+/// Time limit of a dial to the journal service.
+pub const JOURNAL_DIAL_TIMEOUT_US: Micros = SECOND;
+/// Maximum length of a line from the journal service.
+pub const MAX_JOURNAL_LINE_BYTES: usize = 1 << 20;
+/// A release that a caller has not confirmed is sent again on another connection after this time, ...
+pub const RELEASE_RETRY_INTERVAL_US: Micros = 150 * MS;
+/// ... up to this many times in total, ...
+pub const MAX_RELEASE_SENDS: usize = 6;
+/// ... and dropped after this time.
+pub const RELEASE_RETENTION_US: Micros = 12 * SECOND;
+/// How long releases of unknown calls are kept.
+pub const UNKNOWN_RELEASE_RETENTION_US: Micros = 20 * SECOND;
+/// Maximum number of entries in each of these tables.
+pub const MAX_RELEASES: usize = 4_096;
+/// Minimum duration of a shutdown, for set-ups that still arrive.
+pub const MIN_SHUTDOWN_US: Micros = 900 * MS;
+/// During a shutdown, releases of established calls are passed on for this long beyond the longest deadline.
+pub const SHUTDOWN_RELEASE_GRACE_US: Micros = 20 * SECOND;
+/// Interval between two log lines with the table sizes.
+pub const TABLE_SIZES_LOG_INTERVAL_US: Micros = 10 * SECOND;
--- a/crates/lemoncleat-access/tests/endings.rs
+++ b/crates/lemoncleat-access/tests/endings.rs
@@ -26,7 +26,7 @@
     assert!(world.invites().is_empty());
     assert_eq!(world.answers[ID], [480]);
     let stats = world.node.stats();
-    assert_eq!((stats.calls, stats.gone, stats.attempts), (1, 1, 1));
+    assert_eq!((stats.calls, stats.given_up, stats.attempts), (1, 1, 1));
 }
 
 #[test]
@@ -47,7 +47,7 @@
     world.pass(2 * SECOND);
     assert!(world.invites().is_empty());
     let Notice::Tables { open, standing, stats, .. } = world.tables() else { panic!("tables") };
-    assert_eq!((open, standing, stats.calls, stats.gone), (0, 0, 2, 1));
+    assert_eq!((open, standing, stats.calls, stats.given_up), (0, 0, 2, 1));
 }
 
 #[test]
