--- a/crates/lemoncleat-access/tests/fleet.rs
+++ b/crates/lemoncleat-access/tests/fleet.rs
@@ -144,7 +144,7 @@
     tier.pass(10 * SECOND);
     assert!(tier.settled(), "it is back");
     for world in tier.nodes.iter().flatten() {
-        assert_eq!(world.node.stats().notes, 0, "the module was told nothing of it");
+        assert_eq!(world.node.stats().peer_messages, 0, "the module was told nothing of it");
         let stats = world.node.fleet().expect("a member").stats();
         assert_eq!((stats.unreadable, stats.strangers, stats.impostors), (0, 0, 0));
     }
@@ -168,10 +168,10 @@
         (peer(1), &[TAG, 255, 255, 255, 255, 255, 255], 0, 1),
     ];
     for (from, bytes, module, unreadable) in cases {
-        let (notes, unread) = (world.node.stats().notes, stats(world).unreadable);
+        let (notes, unread) = (world.node.stats().peer_messages, stats(world).unreadable);
         world.input(Input::Datagram(from, bytes));
         world.input(Input::Timeout);
-        let got = (world.node.stats().notes - notes, stats(world).unreadable - unread);
+        let got = (world.node.stats().peer_messages - notes, stats(world).unreadable - unread);
         assert_eq!(got, (module, unreadable), "{from} {bytes:?}");
     }
     assert_eq!(stats(world).heard, before.heard);
@@ -270,7 +270,7 @@
     log.extend(world.notices.iter().filter(|one| !is_fleets(one)).map(ToString::to_string));
     log.push(format!("{:?} {:?} {}", world.answers, world.node.stats(), world.stopped));
     let stats = world.node.stats();
-    let every_sort = stats.stood > 50 && stats.refused > 5 && stats.cut > 5 && stats.gone > 5;
+    let every_sort = stats.stood > 50 && stats.refused > 5 && stats.cut > 5 && stats.given_up > 5;
     assert!(world.stopped && every_sort, "{} {stats:?}", world.stopped);
     log
 }
@@ -289,7 +289,9 @@
     let quiet = |mut world: World| {
         world.pass(30 * SECOND);
         world.input(Input::Datagram(peer(1), &[TAG, 1]));
-        assert!(world.told.is_empty() && world.node.fleet().is_none() && world.node.stats().notes == 0);
+        assert!(
+            world.told.is_empty() && world.node.fleet().is_none() && world.node.stats().peer_messages == 0
+        );
         lines(&world)
     };
     assert!(quiet(node(0, 3, false)).is_empty());
@@ -300,7 +302,7 @@
     };
     let forbidden =
         alone(&|text| among(0, 3)(text).replace("\"peer_messages\":true", "\"peer_messages\":false"));
-    assert_eq!(forbidden, ["fleet: alone: the settings allow no notes"]);
+    assert_eq!(forbidden, ["fleet: alone: the settings allow no messages between nodes"]);
     assert_eq!(alone(&among(3, 3)), ["fleet: alone: 3 is not among the members"]);
     assert_eq!(alone(&among(0, 1_025)), ["fleet: alone: 1025 members; at most 1024"]);
 }
--- a/crates/lemoncleat-access/tests/withdrawals.rs
+++ b/crates/lemoncleat-access/tests/withdrawals.rs
@@ -28,7 +28,7 @@
         world.pass(2 * SECOND);
         assert!(world.invites().is_empty(), "{method:?}");
         let stats = world.node.stats();
-        assert_eq!((stats.calls, stats.gone, stats.attempts), (2, 2, 0), "{method:?}");
+        assert_eq!((stats.calls, stats.given_up, stats.attempts), (2, 2, 0), "{method:?}");
     }
 }
 
@@ -127,7 +127,7 @@
             world.pass(6 * SECOND);
             assert!(world.invites().is_empty(), "{place}, {how}");
             let stats = world.node.stats();
-            assert_eq!((stats.attempts, stats.gone), (before, 1), "{place}, {how}");
+            assert_eq!((stats.attempts, stats.given_up), (before, 1), "{place}, {how}");
             let Notice::Tables { open, standing, module, .. } = world.tables() else { panic!("tables") };
             assert_eq!((open, standing, module.calls, module.waiting), (0, 0, 0, 0), "{place}, {how}");
             let answers = world.answers.get(ID).map_or(0, Vec::len);
@@ -153,7 +153,7 @@
     world.bytes(caller, &about(Method::Cancel, NEXT));
     assert_eq!(codes(&world.read(caller)), [481]);
     let Notice::Tables { open, standing, stats, .. } = world.tables() else { panic!("tables") };
-    assert_eq!((open, standing, stats.gone), (0, 1, 1));
+    assert_eq!((open, standing, stats.given_up), (0, 1, 1));
 }
 
 /// A caller that stopped waiting has given its set-up up: in a turn that comes late nothing is begun for it.
