--- a/crates/lemoncleat-access/src/notice.rs
+++ b/crates/lemoncleat-access/src/notice.rs
@@ -158,7 +158,7 @@
                 "{server}: {state}, {standing} standing calls, {conns} connections, {dials} dials"
             ),
             Notice::LoadReport { server, report, previous_view } => {
-                write!(f, "{server} reported {report}; view until then: ")?;
+                write!(f, "{server} told {report}; held until then: ")?;
                 match (previous_view.free, previous_view.lines) {
                     (Some(free), Some(lines)) => write!(f, "{free} of {lines} lines free")?,
                     _ => f.write_str("lines not known")?,
@@ -170,15 +170,15 @@
                 }
                 f.write_str(if previous_view.silent { ", silent" } else { "" })
             }
-            Notice::Unreachable { server, refused: true } => write!(f, "server {server} refuses connections"),
-            Notice::Unreachable { server, refused: false } => write!(f, "server {server} cannot be reached"),
+            Notice::Unreachable { server, refused: true } => write!(f, "{server} refuses connections"),
+            Notice::Unreachable { server, refused: false } => write!(f, "{server} can't be reached"),
             Notice::CallsLost { server, calls, why } => {
                 write!(f, "{calls} standing calls of {server} are lost: {why}")
             }
-            Notice::JournalUp(address, pos) => write!(f, "journal service at {address} up, from event {pos}"),
-            Notice::JournalDown(why) => write!(f, "journal service disconnected: {why}"),
+            Notice::JournalUp(address, pos) => write!(f, "journal service at {address} heard, from {pos} on"),
+            Notice::JournalDown(why) => write!(f, "journal service not heard: {why}"),
             Notice::JournalLine(why) => write!(f, "journal service: {why}"),
-            Notice::Overdue(id) => write!(f, "call {id} unanswered at its deadline: failed"),
+            Notice::Overdue(id) => write!(f, "call {id} had no answer at its deadline: failed by the guard"),
             Notice::Stopping { open, standing } => {
                 write!(f, "ending in order: {open} set-ups open, {standing} calls stand")
             }
