--- a/crates/lemoncleat-consistency/build.rs
+++ b/crates/lemoncleat-consistency/build.rs
@@ -35,7 +35,7 @@
         let serde = if name == "decide" { "use serde::{Deserialize, Serialize};\n" } else { "" };
         text += &format!("pub mod {name} {{\n{serde}{module}}}\n");
     }
-    let changed = text.replacen("const OWN: f64 = 0.5;", "const OWN: f64 = 0.55;", 1);
+    let changed = text.replacen("const OWN_SEND_SHARE: f64 = 0.5;", "const OWN_SEND_SHARE: f64 = 0.55;", 1);
     assert_ne!(changed, text, "the constant to change is no longer there");
     std::fs::write(Path::new(&out).join("patched.rs"), changed).expect("a place to write to");
 }
--- a/crates/lemoncleat/src/decide.rs
+++ b/crates/lemoncleat/src/decide.rs
@@ -1,10 +1,10 @@
-//! Every decision of the library. Its types, events and actions stand in `interface.rs`.
+//! The decision logic of the library. Its types, events and actions are defined in `interface.rs`.
 //!
-//! The rule: a call's *score* on a route is its worth, times the estimated chance that it stands in
-//! time, less the cost of the route and a price for the processor work that it takes. The call goes
-//! out on the best route; none above zero means a short wait at the node while that can still help,
-//! then refusal. What follows is the estimate of a server's wait, the guards of the five rules, and
-//! what happens to calls whose attempt failed.
+//! A call's *score* on a route is its worth times the estimated probability that it is established in
+//! time, minus the cost of the route and a price for the processor work that it causes. The call is sent
+//! on the route with the highest score. If no score is above zero, the call is queued at the node for as
+//! long as a route may still become available in time, and then refused. This module also estimates the
+//! waiting time at each server, enforces the five rules, and handles calls whose attempt failed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,150 +13,157 @@
 use crate::random::Random;
 use crate::state::Cache;
 
-/// Cost of a route over a second choice, in worths of the cheapest class: a small handicap.
-const SECOND_COST: f64 = 0.03;
-/// Share of the aim up to which a call is sure to stand, and at which it is sure not to.
-const CURVE: (f64, f64) = (0.7, 1.2);
-/// Pressed wait as a share of `repeat`: beyond `repeat` a waiting set-up makes more work.
-const PRESSED: f64 = 0.5;
-/// Pressed wait as a share of the shortest aim, where set-ups are not repeated.
-const PRESSED_OF_AIM: f64 = 0.3;
-/// Growth of the price of work with the wait; at the pressed wait it is the cheapest worth.
-const PRICE_POWER: i32 = 2;
-/// How much of a new wait sample goes into the estimate: half, between noise and lag.
-const GAIN: f64 = 0.5;
-/// What one own send adds to the wait, of all nodes' work at that moment and of a pressed wait at most:
-/// it spreads a node's calls over the servers, but is a poor sample of hundreds of nodes' sends.
-const OWN: f64 = 0.5;
-/// Time over which an estimated wait fades, in mean gaps between answers.
-const KEEP: f64 = 6.0;
-/// Share of what its lines can carry below which a server's wait runs off by itself.
-const IDLE: f64 = 0.15;
-/// Least time between two looks at the lines in use, in microseconds.
-const CARRY_SPAN: f64 = 0.5e6;
-/// Time over which outcomes age, in microseconds (about ten seconds, as the design page has it).
-const AGEING: f64 = 10e6;
-/// Outcomes that stand for no evidence, so that a share fades as its outcomes age.
-const PRIOR: f64 = 2.0;
-/// Share of the aim that a call may spend waiting at the node to be sent; the rest is for the set-up.
-const HOLD: f64 = 0.65;
-/// Pause between two looks at waiting calls, in microseconds.
-const LOOK: Micros = 10_000;
-/// Share of what would push a cold server over that all nodes' turns make; kept ones at most double it. Below
-/// that its answers say what it can take.
-const COLD_USE: f64 = 0.5;
-/// Where among the nodes the turns at a cold server begin, in rounds for each place: not all at one.
-const FURTHER: f64 = 0.618;
-/// Scores this near, in worths of the cheapest class, count as equal.
-const NEAR: f64 = 0.05;
-/// Set-ups a second that a warm server is taken to do at least, before this node has seen better: low, so
-/// that the unknown is approached slowly; its lines may bound it lower.
-const UNKNOWN_RATE: f64 = 10.0;
-/// Part of a node's turn at the lines coming free that it waits out: nodes without a call waste theirs.
-const LINE_PACE: f64 = 0.5;
-/// Longest such pause, in pressed waits.
-const LINE_WAIT: f64 = 5.0;
-/// Share of a server's work that the trials of all nodes make at most; less with each one still out.
-const TRIAL_USE: f64 = 0.15;
-/// Longest such pause for one node, in ageing times: what it was told may be wrong.
-const TRIAL_MOST: f64 = 2.0;
-/// A set-up is given up for another route once that scores better by this share of its worth, since the
-/// work done for it is lost.
-const RESCUE: f64 = 0.25;
-/// Patience within this part of the usual counts as the usual.
-const SPREAD: Micros = 32;
-/// Pressed waits without own traffic after which a load report is believed.
-const REPORT_AFTER: f64 = 5.0;
-/// Chance left to a silent server, or to the rest of a group that falls silent, against what it has
-/// otherwise.
-const AGAIN: f64 = 0.3;
-/// The one timer.
-const TICK: u64 = 1;
-
-/// A share of bad outcomes that ages.
+/// Cost of a route other than the first choice, in worths of the cheapest class. Kept small.
+const SECOND_CHOICE_COST: f64 = 0.03;
+/// Shares of the aim up to which a call is certain to be established, and from which it is certain not to be.
+const SUCCESS_CURVE: (f64, f64) = (0.7, 1.2);
+/// Wait above which a server counts as pressed, as a share of `repeat`. A set-up that waits longer than
+/// `repeat` is sent again and causes additional work.
+const PRESSED_SHARE_OF_REPEAT: f64 = 0.5;
+/// Wait above which a server counts as pressed, as a share of the shortest aim, if set-ups are not repeated.
+const PRESSED_SHARE_OF_AIM: f64 = 0.3;
+/// Exponent with which the price of work grows with the wait. At the pressed wait the price equals the
+/// worth of the cheapest class.
+const PRICE_EXPONENT: i32 = 2;
+/// Weight of a new sample in a moving average. A higher weight adds noise, a lower one delay.
+const SMOOTHING_WEIGHT: f64 = 0.5;
+/// Wait that one send of this node adds to the estimate, as a share of the work of one set-up from every
+/// node, limited to a pressed wait. It spreads a node's calls over the servers. It is less than the whole
+/// because one node's send is a poor sample of the sends of hundreds of nodes.
+const OWN_SEND_SHARE: f64 = 0.5;
+/// Time constant of the decay of an estimated wait, in mean intervals between answers.
+const WAIT_DECAY_ANSWERS: f64 = 6.0;
+/// Share of the load that its lines can carry below which a server is taken to work off its queue.
+const IDLE_LOAD: f64 = 0.15;
+/// Minimum interval between two samples of the lines in use.
+const LINES_SAMPLE_INTERVAL_US: f64 = 0.5e6;
+/// Time constant of the decay of recorded outcomes (ten seconds, as in the design page).
+const EVIDENCE_DECAY_US: f64 = 10e6;
+/// Number of virtual good outcomes added to a failure rate, so that the rate decays with its outcomes.
+const PRIOR_OUTCOMES: f64 = 2.0;
+/// Share of the aim that a call may spend queued at the node. The rest is left for the set-up.
+const MAX_QUEUED_SHARE: f64 = 0.65;
+/// Interval between two checks of the queued calls.
+const QUEUE_CHECK_INTERVAL_US: Micros = 10_000;
+/// Share of the load at which a cold server falls over that the turns of all nodes add up to. Turns that are
+/// used late at most double it. Below that load its answers show how much it can take.
+const COLD_LOAD_SHARE: f64 = 0.5;
+/// Offset of the first turn at a cold server, in rounds per place, so that the turns at several cold servers
+/// do not begin with the same node.
+const TURN_OFFSET_PER_PLACE: f64 = 0.618;
+/// Scores that differ by less than this, in worths of the cheapest class, count as equal.
+const NEAR_TIE_MARGIN: f64 = 0.05;
+/// Set-ups per second that a warm server is assumed to handle until this node has observed more. Low, so that
+/// load on an unknown server rises slowly. The number of its lines may limit it further.
+const ASSUMED_RATE_PER_S: f64 = 10.0;
+/// Part of the time until a node's turn at a released line that the node waits before it tries again. It is
+/// less than one because nodes without a call do not use their turns.
+const LINE_RETRY_SHARE: f64 = 0.5;
+/// Upper limit of that pause, in pressed waits.
+const LINE_RETRY_MAX_PRESSED: f64 = 5.0;
+/// Maximum share of a server's work that the trial calls of all nodes take. Each unanswered trial lowers it.
+const TRIAL_LOAD_SHARE: f64 = 0.15;
+/// Upper limit of the pause between trials of one node, in decay times. The reported figures from which the
+/// pause is computed may be wrong.
+const TRIAL_PAUSE_MAX_DECAYS: f64 = 2.0;
+/// A set-up is cancelled in favour of another route only if that route scores better by this share of the
+/// call's worth, since the work already done for it is lost.
+const CANCEL_MARGIN: f64 = 0.25;
+/// Patience that differs from the typical one by less than one part in this many counts as typical.
+const PATIENCE_TOLERANCE_DIVISOR: Micros = 32;
+/// Time without own traffic, in pressed waits, after which a load report is used.
+const REPORT_AFTER_PRESSED: f64 = 5.0;
+/// Factor on the success probability of a silent server, and of the other servers of a group that falls
+/// silent.
+const SILENT_SUCCESS_FACTOR: f64 = 0.3;
+/// Token of the only timer.
+const TICK_TOKEN: u64 = 1;
+
+/// An exponentially decaying failure rate.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-struct Share {
+struct DecayingRate {
     bad: f64,
     all: f64,
     at: Micros,
 }
 
-impl Share {
-    fn faded(&self, now: Micros) -> f64 {
-        (-((now - self.at) as f64) / AGEING).exp()
+impl DecayingRate {
+    fn decay_factor(&self, now: Micros) -> f64 {
+        (-((now - self.at) as f64) / EVIDENCE_DECAY_US).exp()
     }
 
     fn add(&mut self, now: Micros, bad: bool) {
-        let faded = self.faded(now);
-        self.bad = self.bad * faded + f64::from(u8::from(bad));
-        self.all = self.all * faded + 1.0;
+        let decay_factor = self.decay_factor(now);
+        self.bad = self.bad * decay_factor + f64::from(u8::from(bad));
+        self.all = self.all * decay_factor + 1.0;
         self.at = now;
     }
 
     fn value(&self, now: Micros) -> f64 {
-        let faded = self.faded(now);
-        self.bad * faded / (self.all * faded + PRIOR)
+        let decay_factor = self.decay_factor(now);
+        self.bad * decay_factor / (self.all * decay_factor + PRIOR_OUTCOMES)
     }
 }
 
-/// A server's condition, as the log tells it.
+/// A server's condition, as logged.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 enum Health {
     #[default]
-    Well,
+    Normal,
     Pressed,
     Silent,
 }
 
-/// What this node knows of one server.
+/// What this node knows about one server.
 #[derive(Clone, Default, Serialize, Deserialize)]
 struct Server {
     ready: bool,
-    /// Since when it is no longer on the list.
+    /// When it was removed from the server list.
     gone_at: Option<Micros>,
     started_at: Option<Micros>,
     place: i64,
     zone: u32,
     kind: u32,
-    /// Free circuits or lines, where told.
+    /// Free circuits or lines, if reported.
     free: Option<f64>,
-    /// All of them, where told.
+    /// Total number of circuits or lines, if reported.
     lines: Option<f64>,
-    /// Lines in use when last told, and when that was.
+    /// Time and value of the last sample of the lines in use.
     busy: Option<(Micros, f64)>,
-    /// New calls of all nodes, as a share of what its lines can carry, from the lines told.
-    carried: f64,
-    /// Least lag seen: the way there and back with nobody waiting.
-    base: Option<Micros>,
-    /// Estimated wait and the moment it was true.
+    /// New calls of all nodes, as a share of what its lines can carry, derived from the reported lines.
+    line_load: f64,
+    /// Smallest lag seen: the round trip without queueing.
+    min_lag: Option<Micros>,
+    /// Estimated wait, and the time for which it holds.
     wait: f64,
     wait_at: Micros,
-    /// What the last own send added to it.
-    own: f64,
-    /// Own set-ups without an answer, oldest first.
-    open: BTreeSet<(Micros, CallId, u32)>,
-    /// Set-ups that ended in refusal or silence.
-    failed: Share,
-    /// Calls turned back by it as a tandem.
-    turned: Share,
-    /// Set-ups that found no line free, aged.
-    lineless: Share,
-    /// Own set-ups answered, aged: with the other nodes' like share this is its throughput.
-    answered: Share,
-    /// The most of these at any time, and the most lines in use: what it can do at least.
-    most_answered: f64,
-    most_busy: f64,
-    /// Attempts that ended in silence since the last answer, and the latest: only lone trial calls go there.
-    lost: usize,
-    lost_at: Micros,
-    /// Others of a group that it belongs to fell silent of late.
-    doubted: bool,
-    /// When this node last sent to it, and when the latest send that was answered went out.
+    /// What the last send of this node added to the wait.
+    own_send_wait: f64,
+    /// Unanswered set-ups of this node, oldest first.
+    unanswered: BTreeSet<(Micros, CallId, u32)>,
+    /// Rate of set-ups that were refused or not answered.
+    failed: DecayingRate,
+    /// Rate of calls that it turned back as a tandem.
+    turned_back: DecayingRate,
+    /// Rate of set-ups that found no free line.
+    no_line: DecayingRate,
+    /// Answered set-ups of this node. Multiplied by the number of nodes they give the server's throughput.
+    answered: DecayingRate,
+    /// The maximum of these, and of the lines in use: a lower bound of its capacity.
+    max_answered: f64,
+    max_lines_in_use: f64,
+    /// Attempts that ended without an answer since the last answer, and the time of the latest. While there
+    /// are any, the server only gets single trial calls.
+    silent_attempts: usize,
+    last_silent_at: Micros,
+    /// Other servers of one of its groups have recently fallen silent.
+    group_suspect: bool,
+    /// When this node last sent to it, and when the latest answered set-up was sent.
     last_sent: Micros,
     answered_sent: Micros,
-    /// No line was free: no send before this.
-    next_line: Micros,
-    /// What the log said of it last, and when.
+    /// No set-up is sent before this, since no line was free.
+    retry_line_at: Micros,
+    /// The condition that was logged last, and when.
     logged: Health,
     logged_at: Micros,
 }
@@ -165,137 +172,137 @@
     fn new(member: &Member, now: Micros) -> Self {
         Server {
             place: member.place,
-            carried: 1.0,
+            line_load: 1.0,
             wait_at: now,
             last_sent: now,
             answered_sent: now,
-            next_line: now,
+            retry_line_at: now,
             logged_at: Micros::MIN,
             ..Server::default()
         }
     }
 
-    fn base(&self) -> f64 {
-        self.base.unwrap_or(0) as f64
+    fn min_lag(&self) -> f64 {
+        self.min_lag.unwrap_or(0) as f64
     }
 
-    /// The estimate grown old.
-    fn drained(&self, now: Micros) -> f64 {
-        let gap = AGEING / (self.answered.all * self.answered.faded(self.wait_at) + 1.0);
+    /// The estimated wait, decayed to `now`.
+    fn decayed_wait(&self, now: Micros) -> f64 {
+        let gap = EVIDENCE_DECAY_US / (self.answered.all * self.answered.decay_factor(self.wait_at) + 1.0);
         let age = (now - self.wait_at) as f64;
-        let idle = (1.0 - self.carried / IDLE).max(0.0);
-        (self.wait - idle * age).max(0.0) * (-age / (KEEP * gap)).exp()
+        let drain_rate = (1.0 - self.line_load / IDLE_LOAD).max(0.0);
+        (self.wait - drain_rate * age).max(0.0) * (-age / (WAIT_DECAY_ANSWERS * gap)).exp()
     }
 
-    fn settle(&mut self, now: Micros) {
-        self.wait = self.drained(now);
+    fn update_wait(&mut self, now: Micros) {
+        self.wait = self.decayed_wait(now);
         self.wait_at = now;
     }
 
-    /// Takes off what the last own send added, up to that much.
-    fn take_off(&mut self, now: Micros, most: f64) {
-        self.settle(now);
-        self.wait = (self.wait - self.own.min(most)).max(0.0);
+    /// Subtracts what the last send of this node added to the wait, but no more than `limit`.
+    fn subtract_own_send(&mut self, now: Micros, limit: f64) {
+        self.update_wait(now);
+        self.wait = (self.wait - self.own_send_wait.min(limit)).max(0.0);
     }
 
-    /// The wait that a set-up sent now would meet.
-    fn expected(&self, now: Micros) -> f64 {
-        self.drained(now).max(self.silence(now))
+    /// The wait that a set-up sent now is expected to meet.
+    fn expected_wait(&self, now: Micros) -> f64 {
+        self.decayed_wait(now).max(self.silent_for(now))
     }
 
-    /// How long the oldest set-up that no later one overtook has waited: it shows a hang before any
-    /// time-out. One lost on the way says nothing once a later one is answered.
-    fn silence(&self, now: Micros) -> f64 {
-        let oldest = self.open.iter().find(|&&(sent, ..)| sent > self.answered_sent);
-        oldest.map_or(0.0, |&(sent, ..)| ((now - sent) as f64 - self.base()).max(0.0))
+    /// How long the oldest set-up sent after the latest answered one has been waiting. This detects a hung
+    /// server before any time-out. Older set-ups are ignored: they were lost on the way.
+    fn silent_for(&self, now: Micros) -> f64 {
+        let oldest = self.unanswered.iter().find(|&&(sent, ..)| sent > self.answered_sent);
+        oldest.map_or(0.0, |&(sent, ..)| ((now - sent) as f64 - self.min_lag()).max(0.0))
     }
 
-    /// What came to the server of late, from all nodes: lines in use rise with new calls and fall with
-    /// those that end.
-    fn carry(&mut self, now: Micros, length: f64) {
+    /// Estimates the load that all nodes recently sent to the server. The number of lines in use rises with
+    /// new calls and falls with calls that end.
+    fn sample_lines(&mut self, now: Micros, length: f64) {
         let (Some(free), Some(lines)) = (self.free, self.lines) else { return };
         let busy = lines - free;
-        let (at, before) = *self.busy.get_or_insert((now, busy));
-        let span = (now - at) as f64;
-        if span >= CARRY_SPAN {
-            self.settle(now);
+        let (sampled_at, before) = *self.busy.get_or_insert((now, busy));
+        let span = (now - sampled_at) as f64;
+        if span >= LINES_SAMPLE_INTERVAL_US {
+            self.update_wait(now);
             let share = ((busy - before) * length / span + busy) / lines;
-            self.carried += GAIN * (share.clamp(0.0, 2.0) - self.carried);
+            self.line_load += SMOOTHING_WEIGHT * (share.clamp(0.0, 2.0) - self.line_load);
             self.busy = Some((now, busy));
-            // A short crowd, or calls that wait, are no measure of what it does.
-            self.most_busy = self.most_busy.max((before + busy) / 2.0);
+            // The mean of two samples, since a short peak or queued calls do not show its capacity.
+            self.max_lines_in_use = self.max_lines_in_use.max((before + busy) / 2.0);
         }
     }
 
-    fn health(&self, now: Micros, pressed: f64) -> Health {
-        if self.lost > 0 || self.silence(now) > pressed {
+    fn health(&self, now: Micros, pressed_wait: f64) -> Health {
+        if self.silent_attempts > 0 || self.silent_for(now) > pressed_wait {
             Health::Silent
-        } else if self.expected(now) > pressed {
+        } else if self.expected_wait(now) > pressed_wait {
             Health::Pressed
         } else {
-            Health::Well
+            Health::Normal
         }
     }
 
-    fn sample(&mut self, now: Micros, wait: f64, gain: f64) {
+    fn add_wait_sample(&mut self, now: Micros, wait: f64, weight: f64) {
         if wait.is_nan() {
             return;
         }
-        self.settle(now);
-        // Absurd figures must fade like any other.
-        self.wait += gain * (wait.clamp(0.0, AGEING) - self.wait);
+        self.update_wait(now);
+        // Limited, so that implausible figures decay as fast as others.
+        self.wait += weight * (wait.clamp(0.0, EVIDENCE_DECAY_US) - self.wait);
     }
 }
 
-/// Set-ups a second that a server did for all nodes at least, at its best.
-fn most_done(settings: &Settings, longest: f64, server: &Server) -> f64 {
-    // The most of a small count lies above its mean, and all nodes' error would be the same. Lines in
-    // use count all nodes' calls.
+/// Lower bound of the set-ups per second that a server has handled for all nodes at its peak.
+fn observed_rate(settings: &Settings, longest_call_length: f64, server: &Server) -> f64 {
+    // The maximum of a small count lies above its mean, and every node would make the same error, so one
+    // standard deviation is subtracted. Lines in use already count the calls of all nodes.
     let nodes = f64::from(settings.balancers);
-    match server.most_busy {
-        busy if busy > 0.0 && longest > 0.0 => busy / (longest / 1e6),
-        _ => (server.most_answered - server.most_answered.sqrt()).max(0.0) * nodes / (AGEING / 1e6),
+    match server.max_lines_in_use {
+        busy if busy > 0.0 && longest_call_length > 0.0 => busy / (longest_call_length / 1e6),
+        _ => (server.max_answered - server.max_answered.sqrt()).max(0.0) * nodes / (EVIDENCE_DECAY_US / 1e6),
     }
 }
 
-/// An attempt on its way.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Serialize, Deserialize)]
-struct Out {
+struct Attempt {
     server: ServerId,
     sent: Micros,
 }
 
-/// A call that is owed an answer.
+/// A call without a final answer.
 #[derive(Clone, Default, Serialize, Deserialize)]
-struct Pending {
+struct PendingCall {
     call: Call,
     arrived: Micros,
-    ends: Micros,
+    patience_ends: Micros,
     attempts: u32,
-    out: Option<Out>,
-    /// No send before this: what an earlier attempt tied up may still be held.
-    released: Micros,
-    /// The first attempt that may have run: when it was sent, and where.
+    active_attempt: Option<Attempt>,
+    /// No attempt is sent before this: resources of an earlier attempt may still be held.
+    not_before: Micros,
+    /// The first attempt that may have run: when and where it was sent.
     may_have_run: Option<(Micros, ServerId)>,
-    /// The attempt that is out was cancelled.
-    withdrawn: bool,
-    /// Time used in earlier tries, as far as known.
+    /// The current attempt was cancelled.
+    cancelled: bool,
+    /// Time spent on earlier tries, as far as known.
     used_before: Micros,
 }
 
-/// The usual patience of first tries in a class, found by majority vote.
+/// The typical patience of first tries in a class, found by majority vote.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-struct Usual {
+struct TypicalPatience {
     patience: Micros,
     votes: u32,
 }
 
-impl Usual {
+impl TypicalPatience {
     fn vote(&mut self, patience: Micros) {
         if self.votes == 0 {
             self.patience = patience;
         }
-        if (self.patience - patience).abs() <= self.patience / SPREAD {
+        if (self.patience - patience).abs() <= self.patience / PATIENCE_TOLERANCE_DIVISOR {
             self.votes = self.votes.saturating_add(1);
         } else {
             self.votes -= 1;
@@ -303,206 +310,212 @@
     }
 }
 
-/// What servers do at least, put together from all that is known of them.
+/// Lower bounds of server throughput by place.
 #[derive(Clone, Serialize, Deserialize)]
-struct Rates {
-    /// For each place the most that was done there, and the least number of lines.
+struct PlaceRates {
+    /// For each place, the highest observed rate and the smallest number of lines.
     places: BTreeMap<i64, (f64, f64)>,
-    /// The least of any place that did something.
-    least: f64,
+    /// The lowest non-zero rate of any place.
+    lowest: f64,
 }
 
-/// A score and the route that it belongs to.
-type Best = Option<(f64, ServerId)>;
+/// The score of a route and its server.
+type ScoredRoute = Option<(f64, ServerId)>;
 
-/// What a server is to every call at this moment.
+/// The state of a server at this moment, as far as it is the same for every call.
 #[derive(Clone, Copy)]
-struct Face {
+struct Candidate {
     id: ServerId,
     place: i64,
     zone: u32,
     free: Option<f64>,
-    base: f64,
+    min_lag: f64,
     wait: f64,
-    /// Own set-ups answered of late.
-    known: f64,
-    /// Chance that a set-up comes about there, and that it is not turned back by it as a tandem.
-    stands: f64,
-    passes: f64,
+    /// Recently answered set-ups of this node.
+    answered_count: f64,
+    /// Probability that a set-up succeeds there, and that the server as a tandem does not turn it back.
+    success: f64,
+    not_turned_back: f64,
 }
 
-/// The decisions of one access node.
+/// Makes the admission and routing decisions of one access node.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Controller {
     settings: Settings,
     servers: BTreeMap<ServerId, Server>,
-    /// The most that servers which were forgotten did at each place: their successors can do as much.
-    past: BTreeMap<i64, f64>,
-    /// Emptied whenever something it was put together from changes.
-    rates: Cache<Rates>,
-    calls: BTreeMap<CallId, Pending>,
-    /// Calls waiting to be sent, dearest first, then oldest.
+    /// For each place, the highest rate of servers removed from it. Their successors are assumed to reach it.
+    past_rates: BTreeMap<i64, f64>,
+    /// Cleared whenever one of its inputs changes.
+    rates: Cache<PlaceRates>,
+    calls: BTreeMap<CallId, PendingCall>,
+    /// Calls waiting to be sent, highest worth first, then oldest first.
     waiting: BTreeSet<(Reverse<u64>, Micros, CallId)>,
-    usual: Vec<Usual>,
+    typical_patience: Vec<TypicalPatience>,
     random: Random,
-    ticking: bool,
-    watched: bool,
+    timer_set: bool,
+    subscribed: bool,
     now: Micros,
-    /// When the timer is due; how late it came at this moment; the longest that of late, and when.
-    due: Micros,
+    /// When the timer is due, how late the current event is against it, and the longest recent delay with its
+    /// time.
+    timer_due: Micros,
     stall: Micros,
-    stalled: (Micros, Micros),
-    /// Mean length of the longest class, 0 where unknown.
-    longest: f64,
-    pressed: f64,
-    cheapest: f64,
+    longest_stall: (Micros, Micros),
+    /// Largest mean call length of any class, 0 if unknown.
+    longest_call_length: f64,
+    pressed_wait: f64,
+    lowest_worth: f64,
 }
 
 impl Controller {
-    /// A node's controller, with a seed for its random choices.
+    /// Creates a node's controller with a seed for its random choices.
     ///
     /// # Errors
     ///
-    /// When the settings are unusable: no classes, no nodes, negative or non-finite figures.
+    /// Fails if the settings are unusable: no classes, no nodes, negative or non-finite figures.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let least = |worths: f64, class: &Class| worths.min(class.worth);
-        let cheapest = settings.classes.iter().fold(f64::INFINITY, least);
+        let lowest = |worths: f64, class: &Class| worths.min(class.worth);
+        let lowest_worth = settings.classes.iter().fold(f64::INFINITY, lowest);
         let aim = settings.classes.iter().map(|class| class.aim).min().unwrap_or(1) as f64;
-        let longest = settings.classes.iter().map(|class| class.length).max().unwrap_or(0) as f64;
-        let pressed = match settings.repeat {
-            0 => PRESSED_OF_AIM * aim,
-            repeat => PRESSED * repeat as f64,
+        let longest_call_length = settings.classes.iter().map(|class| class.length).max().unwrap_or(0) as f64;
+        let pressed_wait = match settings.repeat {
+            0 => PRESSED_SHARE_OF_AIM * aim,
+            repeat => PRESSED_SHARE_OF_REPEAT * repeat as f64,
         };
         Ok(Controller {
-            usual: vec![Usual::default(); settings.classes.len()],
+            typical_patience: vec![TypicalPatience::default(); settings.classes.len()],
             settings,
             servers: BTreeMap::new(),
-            past: BTreeMap::new(),
+            past_rates: BTreeMap::new(),
             rates: Cache::new(),
             calls: BTreeMap::new(),
             waiting: BTreeSet::new(),
             random: Random::new(seed),
-            ticking: false,
-            watched: false,
+            timer_set: false,
+            subscribed: false,
             now: 0,
-            due: 0,
+            timer_due: 0,
             stall: 0,
-            stalled: (0, 0),
-            longest,
-            pressed: pressed.max(1.0),
-            cheapest: cheapest.max(f64::MIN_POSITIVE),
+            longest_stall: (0, 0),
+            longest_call_length,
+            pressed_wait: pressed_wait.max(1.0),
+            lowest_worth: lowest_worth.max(f64::MIN_POSITIVE),
         })
     }
 
-    /// Takes in one event at the moment `now`, and adds what is to be done to `actions`.
+    /// Processes one event that happened at `now`, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.mind_stalls(now);
-        if !self.watched && self.settings.membership == Membership::Subscribe {
-            self.watched = true;
+        self.detect_stall(now);
+        if !self.subscribed && self.settings.membership == Membership::Subscribe {
+            self.subscribed = true;
             actions.push(Action::Watch(true));
         }
         let mut tick = false;
-        // Reports come from every server all the time, and are older than a look at calls is short.
-        let news = !matches!(event, Event::Probed { .. } | Event::Note { .. } | Event::CallerGone(_));
+        // Reports arrive constantly from every server and are older than the queue check interval, so they
+        // do not trigger a check.
+        let recheck_queue =
+            !matches!(event, Event::Probed { .. } | Event::Note { .. } | Event::CallerGone(_));
         match event {
-            Event::Members(news) => self.members(news),
-            Event::Call(call) => self.arrive(call, actions),
-            Event::Started { call, attempt, server, lag } => self.started(call, attempt, server, lag),
+            Event::Members(news) => self.update_members(news),
+            Event::Call(call) => self.accept_call(call, actions),
+            Event::Started { call, attempt, server, lag } => self.record_answer(call, attempt, server, lag),
             Event::Ended { call, attempt, server, outcome, lag, closed, reason, report } => {
-                self.learn(call, attempt, server, outcome, lag, reason);
-                self.report(server, &report);
+                self.record_outcome(call, attempt, server, outcome, lag, reason);
+                self.apply_report(server, &report);
                 if closed {
-                    self.forget(call);
+                    self.remove_call(call);
                 } else {
-                    self.ended(call, attempt, outcome, reason, actions);
+                    self.attempt_ended(call, attempt, outcome, reason, actions);
                 }
             }
-            Event::CallerGone(call) => self.forget(call),
-            Event::Timer(TICK) => {
-                self.ticking = false;
+            Event::CallerGone(call) => self.remove_call(call),
+            Event::Timer(TICK_TOKEN) => {
+                self.timer_set = false;
                 tick = true;
             }
             Event::Timer(_) => {}
-            Event::Probed { server, report, .. } => self.report(server, &report),
+            Event::Probed { server, report, .. } => self.apply_report(server, &report),
             Event::Note { .. } => {}
         }
-        self.review(tick, news, actions);
+        self.recheck_calls(tick, recheck_queue, actions);
     }
 
-    /// Notices that this node itself had no turn when its timer was due. All that came meanwhile comes at
-    /// once, with lags that are the node's own: at such a moment no set-up is withdrawn, no server is
-    /// blamed, and calls wait for the next look, after the news. Covers paused processes, and hosts that
-    /// run late; it could hide a server that falls silent during the stall, until the next look.
-    fn mind_stalls(&mut self, now: Micros) {
+    /// Detects that this node itself was stalled when its timer was due. Events that arrived during the stall
+    /// are then delivered together, with lags caused by the node. Until the next check no set-up is
+    /// cancelled, no server is held responsible, and calls stay queued, so that list updates are processed
+    /// first. This covers paused processes and overloaded hosts. It can hide a server that falls silent
+    /// during the stall until the next check.
+    fn detect_stall(&mut self, now: Micros) {
         if now <= self.now {
-            return; // The same moment, or a clock that went back.
+            return; // The same time, or a clock that was set back.
         }
         self.now = now;
-        self.stall = if self.ticking { (now - self.due).max(0) } else { 0 };
-        self.due = self.due.max(now);
-        if self.stall > self.stalled.0 || (now - self.stalled.1) as f64 > AGEING {
-            self.stalled = (if self.stall > LOOK { self.stall } else { 0 }, now);
+        self.stall = if self.timer_set { (now - self.timer_due).max(0) } else { 0 };
+        self.timer_due = self.timer_due.max(now);
+        if self.stall > self.longest_stall.0 || (now - self.longest_stall.1) as f64 > EVIDENCE_DECAY_US {
+            self.longest_stall = (if self.stall > QUEUE_CHECK_INTERVAL_US { self.stall } else { 0 }, now);
         }
     }
 
-    /// How much it holds.
+    /// Returns the number of servers and calls that the controller holds.
     pub fn sizes(&self) -> Sizes {
         Sizes { servers: self.servers.len(), calls: self.calls.len(), waiting: self.waiting.len() }
     }
 
-    /// What it takes a server to be like at this moment; `None` where it knows nothing of it.
+    /// Returns the estimated state of a server at this moment, or `None` if the server is unknown.
     pub fn view(&self, id: ServerId) -> Option<View> {
         let server = self.servers.get(&id)?;
         Some(View {
             free: server.free,
             lines: server.lines,
-            wait: server.expected(self.now) as Micros,
-            way: server.base,
-            silent: server.health(self.now, self.pressed) == Health::Silent,
+            wait: server.expected_wait(self.now) as Micros,
+            way: server.min_lag,
+            silent: server.health(self.now, self.pressed_wait) == Health::Silent,
         })
     }
 
-    // ---- The list of servers ----
+    // ---- Server list ----
 
-    fn members(&mut self, news: MemberNews) {
+    fn update_members(&mut self, news: MemberNews) {
         match news {
-            MemberNews::Changes(members) => members.iter().for_each(|member| self.member(member)),
+            MemberNews::Changes(members) => members.iter().for_each(|member| self.update_member(member)),
             MemberNews::Complete(members) => {
                 for server in self.servers.values_mut() {
                     server.ready = false;
                     server.gone_at.get_or_insert(self.now);
                 }
                 self.rates.take();
-                members.iter().for_each(|member| self.member(member));
+                members.iter().for_each(|member| self.update_member(member));
             }
-            MemberNews::Failed => self.watched = false,
+            MemberNews::Failed => self.subscribed = false,
         }
-        self.forget_servers();
+        self.remove_expired_servers();
     }
 
-    /// Forgets servers that have been gone for long, once no call depends on them. What one could do is the
-    /// best there is to know of its successor.
-    fn forget_servers(&mut self) {
-        let old = |server: &Server| server.gone_at.is_some_and(|at| (self.now - at) as f64 > AGEING);
-        let idle = self.servers.iter().filter(|(_, server)| old(server) && server.open.is_empty());
-        let mut idle: BTreeSet<ServerId> = idle.map(|(&id, _)| id).collect();
-        if !idle.is_empty() {
-            let held = self.calls.values().filter_map(|pending| pending.may_have_run);
-            held.for_each(|(_, id)| _ = idle.remove(&id));
+    /// Removes servers that left the list more than a decay time ago, once no call refers to them. The rate
+    /// that a server reached is kept as the best available estimate for its successor.
+    fn remove_expired_servers(&mut self) {
+        let expired =
+            |server: &Server| server.gone_at.is_some_and(|at| (self.now - at) as f64 > EVIDENCE_DECAY_US);
+        let unused =
+            self.servers.iter().filter(|(_, server)| expired(server) && server.unanswered.is_empty());
+        let mut removable: BTreeSet<ServerId> = unused.map(|(&id, _)| id).collect();
+        if !removable.is_empty() {
+            let in_use = self.calls.values().filter_map(|pending| pending.may_have_run);
+            in_use.for_each(|(_, id)| _ = removable.remove(&id));
         }
-        for id in idle {
+        for id in removable {
             if let Some(server) = self.servers.remove(&id) {
-                let past = self.past.entry(server.place).or_default();
-                *past = past.max(most_done(&self.settings, self.longest, &server));
+                let past_rate = self.past_rates.entry(server.place).or_default();
+                *past_rate = past_rate.max(observed_rate(&self.settings, self.longest_call_length, &server));
                 self.rates.take();
             }
         }
     }
 
-    fn member(&mut self, member: &Member) {
+    fn update_member(&mut self, member: &Member) {
         let now = self.now;
-        let anew = member.started_at.is_some()
+        let restarted = member.started_at.is_some()
             && self.servers.get(&member.server).is_none_or(|server| server.started_at != member.started_at);
         let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
         let ready = member.availability == Availability::Ready;
@@ -516,17 +529,17 @@
         };
         server.place = member.place;
         (server.zone, server.kind) = (member.zone, member.kind);
-        if anew {
-            // A new process knows nothing of its predecessor's queue.
+        if restarted {
+            // A restarted process has an empty queue.
             server.started_at = member.started_at;
             server.last_sent = member.started_at.map_or(now, |at| at.min(now));
-            (server.wait, server.lost) = (0.0, 0);
-            server.failed = Share::default();
+            (server.wait, server.silent_attempts) = (0.0, 0);
+            server.failed = DecayingRate::default();
         }
     }
 
-    /// Share of its capacity that a server has at least, 1 when warm.
-    fn warmth(&self, server: &Server) -> f64 {
+    /// Lower bound of the share of its full capacity that a server has reached, 1 if it is warm.
+    fn warm_share(&self, server: &Server) -> f64 {
         let Some(started) = server.started_at else { return 1.0 };
         let (age, span) = ((self.now - started) as f64, self.settings.cold_span as f64);
         if age >= span {
@@ -536,314 +549,349 @@
         from + (1.0 - from) * (age / span).max(0.0)
     }
 
-    /// Set-ups a second that the warm server of a place takes from all nodes, judged from this node's
-    /// share of its past, or of the lesser of the other places where it has none.
+    /// Set-ups per second that the warm server of a place handles for all nodes, estimated from what this
+    /// node observed there, or from the lowest rate of the other places if it observed nothing.
     fn warm_rate(&self, place: i64) -> f64 {
-        let rates = self.rates.get_or_init(|| self.judge_rates());
-        let &(same, lines) = rates.places.get(&place).unwrap_or(&(0.0, f64::INFINITY));
-        let known = if same > 0.0 || rates.least.is_infinite() { same } else { rates.least };
-        // It can't take more calls than leave its lines.
-        known.max(UNKNOWN_RATE).min(lines / (self.longest / 1e6))
+        let rates = self.rates.get_or_init(|| self.compute_rates());
+        let &(place_rate, lines) = rates.places.get(&place).unwrap_or(&(0.0, f64::INFINITY));
+        let rate = if place_rate > 0.0 || rates.lowest.is_infinite() { place_rate } else { rates.lowest };
+        // It can't take more calls than its lines are released.
+        rate.max(ASSUMED_RATE_PER_S).min(lines / (self.longest_call_length / 1e6))
     }
 
-    fn judge_rates(&self) -> Rates {
-        let mut rates = Rates { places: BTreeMap::new(), least: f64::INFINITY };
-        let present = self.servers.values().map(|one| {
-            let lines = one.lines.filter(|_| one.ready).unwrap_or(f64::INFINITY);
-            (one.place, most_done(&self.settings, self.longest, one), lines)
+    fn compute_rates(&self) -> PlaceRates {
+        let mut rates = PlaceRates { places: BTreeMap::new(), lowest: f64::INFINITY };
+        let present = self.servers.values().map(|server| {
+            let lines = server.lines.filter(|_| server.ready).unwrap_or(f64::INFINITY);
+            (server.place, observed_rate(&self.settings, self.longest_call_length, server), lines)
         });
-        for (at, most, lines) in present.chain(self.past.iter().map(|(&at, &most)| (at, most, f64::INFINITY)))
+        for (place, rate, lines) in
+            present.chain(self.past_rates.iter().map(|(&place, &rate)| (place, rate, f64::INFINITY)))
         {
-            let place = rates.places.entry(at).or_insert((0.0, f64::INFINITY));
-            *place = (place.0.max(most), place.1.min(lines));
-            if most > 0.0 {
-                rates.least = rates.least.min(most);
+            let bounds = rates.places.entry(place).or_insert((0.0, f64::INFINITY));
+            *bounds = (bounds.0.max(rate), bounds.1.min(lines));
+            if rate > 0.0 {
+                rates.lowest = rates.lowest.min(rate);
             }
         }
         rates
     }
 
-    /// Whether it is this node's turn at a cold server. Turns come at a pace within the server's means and go
-    /// round by the nodes' numbers, counted from its start: no memory is needed, and no two nodes that judge
-    /// its rate alike share one. One lapses after `fall_span`, or all nodes would use the one that they kept
-    /// once the server looks good again, and after half a round: a node's sends lie apart.
-    fn has_turn(&self, server: &Server, warmth: f64) -> bool {
-        let (all, own) = (f64::from(self.settings.balancers), f64::from(self.settings.own_number));
-        let pace = self.warm_rate(server.place) / 1e6 * self.settings.fall_multiple * COLD_USE / all;
+    /// Whether it is this node's turn at a cold server. Turns are paced to what the server can handle and go
+    /// round-robin by node number, counted from the start of the server. This needs no stored state, and two
+    /// nodes that estimate the same rate never share a turn. An unused turn expires after `fall_span`;
+    /// otherwise all nodes would use theirs at once when the server looks good again. It also expires after
+    /// half a round, which keeps the sends of one node apart.
+    fn has_turn(&self, server: &Server, warm_share: f64) -> bool {
+        let (nodes, own_number) = (f64::from(self.settings.balancers), f64::from(self.settings.own_number));
+        let pace = self.warm_rate(server.place) / 1e6 * self.settings.fall_multiple * COLD_LOAD_SHARE / nodes;
         let (from, span) = (self.settings.cold_from.min(1.0), self.settings.cold_span as f64);
         let rounds = |at| {
-            let age = (at - server.started_at.unwrap_or(at)).abs() as f64; // It may lie ahead of the clock.
-            let had = pace * age * (from + (1.0 - from) * (age / span).min(1.0) / 2.0);
-            had - (own / all + server.place as f64 * FURTHER).rem_euclid(1.0)
+            let age = (at - server.started_at.unwrap_or(at)).abs() as f64; // It may lie in the future.
+            let turns = pace * age * (from + (1.0 - from) * (age / span).min(1.0) / 2.0);
+            turns - (own_number / nodes + server.place as f64 * TURN_OFFSET_PER_PLACE).rem_euclid(1.0)
         };
         let (now, sent) = (rounds(self.now), rounds(server.last_sent).floor());
-        let kept = (pace * warmth * self.settings.fall_span.max(LOOK) as f64).min(0.5);
-        now >= 0.0 && sent != now.floor() && now - now.floor() <= kept
+        let turn_length =
+            (pace * warm_share * self.settings.fall_span.max(QUEUE_CHECK_INTERVAL_US) as f64).min(0.5);
+        now >= 0.0 && sent != now.floor() && now - now.floor() <= turn_length
     }
 
-    // ---- What answers tell ----
+    // ---- Reports and outcomes ----
 
-    fn report(&mut self, id: ServerId, report: &Report) {
+    fn apply_report(&mut self, id: ServerId, report: &Report) {
         let now = self.now;
-        let rate = self.servers.get(&id).map_or(UNKNOWN_RATE, |server| self.warm_rate(server.place));
-        let length = self.longest;
+        let rate = self.servers.get(&id).map_or(ASSUMED_RATE_PER_S, |server| self.warm_rate(server.place));
+        let length = self.longest_call_length;
         let Some(server) = self.servers.get_mut(&id) else { return };
         if report.free.is_some() {
-            let before = (server.lines, server.most_busy);
+            let before = (server.lines, server.max_lines_in_use);
             server.free = report.free;
             server.lines = report.lines.filter(|lines| *lines > 0.0).or(server.lines);
-            server.carry(now, length);
-            if (server.lines, server.most_busy) != before {
+            server.sample_lines(now, length);
+            if (server.lines, server.max_lines_in_use) != before {
                 self.rates.take();
             }
         }
-        // Reports are older than answers, and every node has the same: acted on together they herd.
-        // They speak only where this node's own answers have fallen silent.
-        let unheard = (now - server.answered_sent.max(server.last_sent)) as f64 > REPORT_AFTER * self.pressed;
+        // Reports are older than answers, and all nodes get the same ones: nodes that follow them all pick
+        // the same server. They are used only after a while without own traffic to the server.
+        let no_recent_traffic = (now - server.answered_sent.max(server.last_sent)) as f64
+            > REPORT_AFTER_PRESSED * self.pressed_wait;
         let queued = report.queue.map(|queue| queue * 1e6 / rate);
-        if let (Some(wait), true) = (report.wait.map(|wait| wait as f64).or(queued), unheard) {
-            server.sample(now, wait, GAIN);
+        if let (Some(wait), true) = (report.wait.map(|wait| wait as f64).or(queued), no_recent_traffic) {
+            server.add_wait_sample(now, wait, SMOOTHING_WEIGHT);
         }
     }
 
-    fn started(&mut self, call: CallId, attempt: u32, id: ServerId, lag: Micros) {
+    fn record_answer(&mut self, call: CallId, attempt: u32, id: ServerId, lag: Micros) {
         let (now, stall) = (self.now, self.stall);
-        // A first answer may come out of a queue: it is no measure of the way there alone. The ways to
-        // servers of one zone are alike; that to another zone may well be longer.
+        // A first answer may include queueing and so overstate the round trip. Round trips to servers of one
+        // zone are similar; that to another zone may be longer.
         let zone = self.servers.get(&id).map(|server| server.zone);
-        let alike = self.servers.values().filter(|server| Some(server.zone) == zone);
-        let others = alike.filter_map(|server| server.base).max();
-        let most = others.unwrap_or(Micros::MAX).min(self.pressed as Micros);
-        let unit = self.servers.get(&id).map_or(0.0, |server| 1e6 / self.warm_rate(server.place));
+        let same_zone = self.servers.values().filter(|server| Some(server.zone) == zone);
+        let max_min_lag = same_zone.filter_map(|server| server.min_lag).max();
+        let initial_min_lag = max_min_lag.unwrap_or(Micros::MAX).min(self.pressed_wait as Micros);
+        let set_up_work = self.servers.get(&id).map_or(0.0, |server| 1e6 / self.warm_rate(server.place));
         if let Some(server) = self.servers.get_mut(&id) {
-            server.open.retain(|&(_, c, a)| (c, a) != (call, attempt));
-            let base = server.base.unwrap_or(most).min(lag).max(0);
-            server.base = Some(base);
-            server.lost = 0;
+            server.unanswered.retain(|&(_, c, a)| (c, a) != (call, attempt));
+            let min_lag = server.min_lag.unwrap_or(initial_min_lag).min(lag).max(0);
+            server.min_lag = Some(min_lag);
+            server.silent_attempts = 0;
             server.answered_sent = server.answered_sent.max(now.saturating_sub(lag));
             server.failed.add(now, false);
-            server.turned.add(now, false);
+            server.turned_back.add(now, false);
             server.answered.add(now, false);
-            server.lineless.add(now, false);
-            if server.answered.all > server.most_answered {
-                server.most_answered = server.answered.all;
+            server.no_line.add(now, false);
+            if server.answered.all > server.max_answered {
+                server.max_answered = server.answered.all;
                 self.rates.take();
             }
-            // Of what its send added, its own work is done; what other nodes sent at that moment may not be.
-            server.take_off(now, unit);
-            // It came some time during the stall, if there was one.
-            let (most, least) = ((lag - base) as f64, (lag - base - stall).max(0) as f64);
-            let wait = server.drained(now).clamp(least, most);
-            server.sample(now, wait, GAIN);
+            // Of the wait that its send added, only its own work is done. The set-ups assumed to have come
+            // from other nodes may still be queued.
+            server.subtract_own_send(now, set_up_work);
+            // If the node was stalled, the answer arrived at an unknown time during the stall.
+            let (max_wait, min_wait) = ((lag - min_lag) as f64, (lag - min_lag - stall).max(0) as f64);
+            let wait = server.decayed_wait(now).clamp(min_wait, max_wait);
+            server.add_wait_sample(now, wait, SMOOTHING_WEIGHT);
         }
-        self.forget(call);
+        self.remove_call(call);
     }
 
-    fn learn(&mut self, call: CallId, attempt: u32, id: ServerId, how: Outcome, lag: Micros, why: Reason) {
-        let (now, pressed, stall) = (self.now, self.pressed, self.stall);
-        // All nodes together try a pool without a line as often as one comes free there.
-        let rate = self.servers.get(&id).map_or(UNKNOWN_RATE, |server| self.warm_rate(server.place));
-        let freed = (LINE_PACE * f64::from(self.settings.balancers) * 1e6 / rate).min(LINE_WAIT * pressed);
+    fn record_outcome(
+        &mut self,
+        call: CallId,
+        attempt: u32,
+        id: ServerId,
+        outcome: Outcome,
+        lag: Micros,
+        reason: Reason,
+    ) {
+        let (now, pressed_wait, stall) = (self.now, self.pressed_wait, self.stall);
+        // All nodes together retry a pool without free lines as often as a line is released there.
+        let rate = self.servers.get(&id).map_or(ASSUMED_RATE_PER_S, |server| self.warm_rate(server.place));
+        let line_retry_pause = (LINE_RETRY_SHARE * f64::from(self.settings.balancers) * 1e6 / rate)
+            .min(LINE_RETRY_MAX_PRESSED * pressed_wait);
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let before = server.open.len();
-        server.open.retain(|&(_, c, a)| (c, a) != (call, attempt));
-        if server.open.len() == before {
-            return; // It stood before: its end says nothing of set-ups.
+        let before = server.unanswered.len();
+        server.unanswered.retain(|&(_, c, a)| (c, a) != (call, attempt));
+        if server.unanswered.len() == before {
+            return; // An established call ended: this says nothing about set-ups.
         }
-        match (how, why) {
+        match (outcome, reason) {
             (Outcome::Full, Reason::NoCircuit) => {
-                server.lineless.add(now, true);
-                server.next_line = now + freed as Micros;
-                // It made no work there.
-                server.take_off(now, server.own);
+                server.no_line.add(now, true);
+                server.retry_line_at = now + line_retry_pause as Micros;
+                // It caused no processor work.
+                server.subtract_own_send(now, server.own_send_wait);
             }
             (Outcome::Moot, _) => {}
-            (Outcome::Full, Reason::TurnedBack { .. }) => server.turned.add(now, true),
-            (Outcome::Full, why) => {
-                let wait = if let Reason::ProcessorFull { wait } = why { wait } else { 0 };
-                server.lost = 0;
+            (Outcome::Full, Reason::TurnedBack { .. }) => server.turned_back.add(now, true),
+            (Outcome::Full, reason) => {
+                let wait = if let Reason::ProcessorFull { wait } = reason { wait } else { 0 };
+                server.silent_attempts = 0;
                 server.answered_sent = server.answered_sent.max(now.saturating_sub(lag));
                 server.failed.add(now, true);
-                let wait = if wait > 0 { wait as f64 } else { server.wait.max(4.0 * pressed) };
-                server.sample(now, wait, 1.0);
+                let wait = if wait > 0 { wait as f64 } else { server.wait.max(4.0 * pressed_wait) };
+                server.add_wait_sample(now, wait, 1.0);
             }
             (Outcome::Error, Reason::LinesBusy) => {}
             (Outcome::Error, _) => {
                 server.failed.add(now, true);
-                server.take_off(now, 1e6 / rate);
+                server.subtract_own_send(now, 1e6 / rate);
             }
             (Outcome::Reset, _) => server.failed.add(now, true),
             (Outcome::TimedOut | Outcome::Unreachable | Outcome::Cancelled, _) => {
                 server.failed.add(now, true);
                 if server.answered_sent <= now.saturating_sub(lag)
-                    && (stall <= LOOK || (lag - stall) as f64 > pressed)
+                    && (stall <= QUEUE_CHECK_INTERVAL_US || (lag - stall) as f64 > pressed_wait)
                 {
-                    (server.lost, server.lost_at) = (server.lost + 1, now);
+                    (server.silent_attempts, server.last_silent_at) = (server.silent_attempts + 1, now);
                 }
             }
             (Outcome::Ok, _) => {}
         }
     }
 
-    // ---- A call's life ----
+    // ---- Call handling ----
 
-    fn forget(&mut self, id: CallId) {
-        if let Some(gone) = self.calls.remove(&id) {
-            self.waiting.remove(&self.rank(&gone));
+    fn remove_call(&mut self, id: CallId) {
+        if let Some(removed) = self.calls.remove(&id) {
+            self.waiting.remove(&self.queue_key(&removed));
         }
     }
 
-    fn rank(&self, pending: &Pending) -> (Reverse<u64>, Micros, CallId) {
+    fn queue_key(&self, pending: &PendingCall) -> (Reverse<u64>, Micros, CallId) {
         let worth = self.settings.classes.get(pending.call.class).map_or(0.0, |class| class.worth);
         (Reverse((worth * 1e6) as u64), pending.arrived, pending.call.id)
     }
 
-    fn arrive(&mut self, call: Call, actions: &mut Vec<Action>) {
+    fn accept_call(&mut self, call: Call, actions: &mut Vec<Action>) {
         let id = call.id;
         if call.class >= self.settings.classes.len() {
             actions.push(Action::Fail(id));
             return;
         }
-        let (arrived, ends) = (self.now, self.now.saturating_add(call.patience));
+        let (arrived, patience_ends) = (self.now, self.now.saturating_add(call.patience));
         let used_before = self.used_before(&call);
-        let fresh = Pending { call, arrived, ends, released: arrived, used_before, ..Pending::default() };
-        self.calls.insert(id, fresh);
-        self.place(id, &mut self.faces(), actions);
+        let pending = PendingCall {
+            call,
+            arrived,
+            patience_ends,
+            not_before: arrived,
+            used_before,
+            ..PendingCall::default()
+        };
+        self.calls.insert(id, pending);
+        self.route_call(id, &mut self.candidates(), actions);
     }
 
-    /// Time that earlier tries of the call used. Callers who dial again wait out what is left of the
-    /// deadline, so patience beyond the usual tells it; where repeats are marked, the aim is over.
+    /// Time that earlier tries of the call used. Callers who dial again wait for the rest of the deadline, so
+    /// patience above the typical one reveals how much is used. Calls marked as redialled have at least used
+    /// up the aim.
     fn used_before(&mut self, call: &Call) -> Micros {
-        let (class, usual) = (&self.settings.classes[call.class], &mut self.usual[call.class]);
+        let (class, typical) = (&self.settings.classes[call.class], &mut self.typical_patience[call.class]);
         if call.cut || call.in_transit {
-            return 0; // A cut call starts anew; one in transit was judged where it came from.
+            return 0; // A cut call starts again; a transit call was assessed by the node that forwarded it.
         }
         if !call.redialled {
-            usual.vote(call.patience);
+            typical.vote(call.patience);
         }
-        if call.patience > usual.patience + usual.patience / SPREAD {
+        if call.patience > typical.patience + typical.patience / PATIENCE_TOLERANCE_DIVISOR {
             return (class.deadline - call.patience).max(0);
         }
         Micros::from(call.redialled) * class.aim
     }
 
-    fn ended(&mut self, id: CallId, attempt: u32, how: Outcome, why: Reason, actions: &mut Vec<Action>) {
+    fn attempt_ended(
+        &mut self,
+        id: CallId,
+        attempt: u32,
+        outcome: Outcome,
+        reason: Reason,
+        actions: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(pending) = self.calls.get_mut(&id) else { return };
         if attempt + 1 != pending.attempts {
             return;
         }
-        let Some(out) = pending.out.take() else { return };
-        if !matches!(how, Outcome::Full | Outcome::Unreachable | Outcome::Moot) {
-            pending.may_have_run.get_or_insert((out.sent, out.server));
+        let Some(active_attempt) = pending.active_attempt.take() else { return };
+        if !matches!(outcome, Outcome::Full | Outcome::Unreachable | Outcome::Moot) {
+            pending.may_have_run.get_or_insert((active_attempt.sent, active_attempt.server));
         }
-        if matches!(how, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-            // The release rule: what the attempt tied up may still be held.
-            pending.released = now + self.settings.release;
+        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
+            // Release rule: resources of the attempt may still be held for this time.
+            pending.not_before = now + self.settings.release;
         }
-        if how == Outcome::Error && why == Reason::LinesBusy {
+        if outcome == Outcome::Error && reason == Reason::LinesBusy {
             return self.give_up(id, actions);
         }
-        self.place(id, &mut self.faces(), actions);
+        self.route_call(id, &mut self.candidates(), actions);
     }
 
-    /// Sends the call on its best route, lets it wait, or turns it away.
-    fn place(&mut self, id: CallId, faces: &mut Vec<Face>, actions: &mut Vec<Action>) {
+    /// Sends the call on its best route, queues it, or gives its final answer.
+    fn route_call(&mut self, id: CallId, candidates: &mut Vec<Candidate>, actions: &mut Vec<Action>) {
         let Some(pending) = self.calls.get(&id) else { return };
-        if pending.out.is_some() {
+        if pending.active_attempt.is_some() {
             return;
         }
-        if self.stall > LOOK && self.now < pending.ends - LOOK {
-            return self.wait(id);
+        if self.stall > QUEUE_CHECK_INTERVAL_US && self.now < pending.patience_ends - QUEUE_CHECK_INTERVAL_US
+        {
+            return self.enqueue(id);
         }
-        let at = self.now.max(pending.released);
-        let best = self.best(faces, pending, at, None);
+        let send_at = self.now.max(pending.not_before);
+        let best = self.best_route(candidates, pending, send_at, None);
         match best {
-            Some((_, to)) if at == self.now => {
-                self.send(id, to, actions);
-                if let Some(at) = faces.iter().position(|face| face.id == to) {
-                    let anew = self.servers.get(&to).and_then(|server| self.face(to, server));
-                    faces.splice(at..=at, anew);
+            Some((_, to)) if send_at == self.now => {
+                self.send_attempt(id, to, actions);
+                if let Some(index) = candidates.iter().position(|candidate| candidate.id == to) {
+                    let updated = self.servers.get(&to).and_then(|server| self.candidate(to, server));
+                    candidates.splice(index..=index, updated);
                 }
             }
-            Some(_) => self.wait(id),
-            None if self.may_wait(pending) => self.wait(id),
+            Some(_) => self.enqueue(id),
+            None if self.may_wait(pending) => self.enqueue(id),
             None => self.give_up(id, actions),
         }
     }
 
-    /// Whether the call can still gain by waiting for a route to pay.
-    fn may_wait(&self, pending: &Pending) -> bool {
+    /// Whether a route may still become worthwhile for the call while it is queued.
+    fn may_wait(&self, pending: &PendingCall) -> bool {
         let class = &self.settings.classes[pending.call.class];
-        let used = (self.now.max(pending.released) - pending.arrived + pending.used_before) as f64;
+        let elapsed = (self.now.max(pending.not_before) - pending.arrived + pending.used_before) as f64;
         !pending.call.in_transit
-            && used < HOLD * class.aim as f64
-            && self.now < pending.ends - LOOK - self.stalled.0
+            && elapsed < MAX_QUEUED_SHARE * class.aim as f64
+            && self.now < pending.patience_ends - QUEUE_CHECK_INTERVAL_US - self.longest_stall.0
             && pending.attempts < self.settings.max_attempts
             && self
                 .servers
                 .iter()
-                .any(|(&id, one)| one.ready && self.permitted(pending, id, one.place, one.zone))
+                .any(|(&id, server)| server.ready && self.permitted(pending, id, server.place, server.zone))
     }
 
-    fn wait(&mut self, id: CallId) {
+    fn enqueue(&mut self, id: CallId) {
         let Some(pending) = self.calls.get(&id) else { return };
-        let rank = self.rank(pending);
-        self.waiting.insert(rank);
+        let queue_key = self.queue_key(pending);
+        self.waiting.insert(queue_key);
     }
 
-    /// Looks again at the calls that wait, and at set-ups that other routes could still save.
-    fn review(&mut self, tick: bool, news: bool, actions: &mut Vec<Action>) {
-        if tick && self.stall <= LOOK {
-            self.rescue(actions);
-            self.log(actions);
-            self.doubt();
+    /// Checks the queued calls again, and the set-ups that another route could still complete in time.
+    fn recheck_calls(&mut self, tick: bool, recheck_queue: bool, actions: &mut Vec<Action>) {
+        if tick && self.stall <= QUEUE_CHECK_INTERVAL_US {
+            self.cancel_stuck_attempts(actions);
+            self.log_health_changes(actions);
+            self.detect_group_failures();
         }
-        if news && !self.waiting.is_empty() {
-            let mut faces = self.faces();
+        if recheck_queue && !self.waiting.is_empty() {
+            let mut candidates = self.candidates();
             for id in self.waiting.iter().map(|&(.., id)| id).collect::<Vec<_>>() {
-                self.place(id, &mut faces, actions);
+                self.route_call(id, &mut candidates, actions);
             }
         }
-        if !self.calls.is_empty() && !self.ticking {
-            self.ticking = true;
-            self.due = self.now + LOOK;
-            actions.push(Action::Timer { token: TICK, delay: LOOK });
+        if !self.calls.is_empty() && !self.timer_set {
+            self.timer_set = true;
+            self.timer_due = self.now + QUEUE_CHECK_INTERVAL_US;
+            actions.push(Action::Timer { token: TICK_TOKEN, delay: QUEUE_CHECK_INTERVAL_US });
         }
     }
 
-    /// Servers that fail together mostly share something that the list shows: a place, a zone, a kind. Where
-    /// half of such a group, and two at least, fell silent of late, so may the rest: it counts less for a
-    /// while. A group of all is no evidence, or one trouble would shut the service down.
-    fn doubt(&mut self) {
+    /// Servers that fail together usually share a property that the server list shows: a place, a zone or a
+    /// kind. If at least half of such a group, and at least two servers, recently fell silent, the others are
+    /// rated lower for a while. A group of all listed servers is ignored; otherwise a single fault would stop
+    /// the service.
+    fn detect_group_failures(&mut self) {
         let (now, mut groups) = (self.now, BTreeMap::<(u8, i64), (usize, usize)>::new());
         let keys = |server: &Server| [(0, server.place), (1, server.zone.into()), (2, server.kind.into())];
         let listed = self.servers.values().filter(|server| server.ready).count();
         for server in self.servers.values().filter(|server| server.ready) {
-            let silent = server.lost > 0 && ((now - server.lost_at) as f64) < AGEING;
+            let silent =
+                server.silent_attempts > 0 && ((now - server.last_silent_at) as f64) < EVIDENCE_DECAY_US;
             for key in keys(server) {
-                let (all, lost) = groups.entry(key).or_default();
-                (*all, *lost) = (*all + 1, *lost + usize::from(silent));
+                let (all, silent_count) = groups.entry(key).or_default();
+                (*all, *silent_count) = (*all + 1, *silent_count + usize::from(silent));
             }
         }
         for server in self.servers.values_mut() {
-            let failing =
-                |key| groups.get(&key).is_some_and(|&(all, n)| all < listed && n > 1 && 2 * n >= all);
-            server.doubted = keys(server).into_iter().any(failing);
+            let failed_group = |key| {
+                groups.get(&key).is_some_and(|&(all, silent)| all < listed && silent > 1 && 2 * silent >= all)
+            };
+            server.group_suspect = keys(server).into_iter().any(failed_group);
         }
     }
 
-    /// Tells of servers whose condition changed, once in a while each.
-    fn log(&mut self, actions: &mut Vec<Action>) {
+    /// Logs servers whose condition changed, at most once per decay time for each.
+    fn log_health_changes(&mut self, actions: &mut Vec<Action>) {
         for server in self.servers.values_mut() {
-            let health = server.health(self.now, self.pressed);
-            if health == server.logged || self.now < server.logged_at.saturating_add(AGEING as Micros) {
+            let health = server.health(self.now, self.pressed_wait);
+            if health == server.logged
+                || self.now < server.logged_at.saturating_add(EVIDENCE_DECAY_US as Micros)
+            {
                 continue;
             }
             (server.logged, server.logged_at) = (health, self.now);
-            let wait = server.expected(self.now) / 1e3;
+            let wait = server.expected_wait(self.now) / 1e3;
             let text = match health {
-                Health::Well => "answers in time again".to_owned(),
+                Health::Normal => "answers in time again".to_owned(),
                 Health::Pressed => format!("pressed, about {wait:.0} ms: cheap calls are held or refused"),
                 Health::Silent => format!("silent for about {wait:.0} ms: trial calls only"),
             };
@@ -851,72 +899,72 @@
         }
     }
 
-    /// Gives up set-ups that wait in silence, where another route is clearly better even after the
-    /// release time. Covers hung, crashed and suddenly slowed servers and set-ups lost on the way; it
-    /// could harm by moving load between servers that are all slow, hence the margin.
-    fn rescue(&mut self, actions: &mut Vec<Action>) {
+    /// Cancels unanswered set-ups if another route is clearly better even after the release time. This covers
+    /// hung, crashed and suddenly slow servers and set-ups lost on the way. Without the margin it would move
+    /// load back and forth between servers that are all slow.
+    fn cancel_stuck_attempts(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.may_cancel {
             return;
         }
-        let (mut cancelled, faces) = (Vec::new(), Cache::new());
+        let (mut to_cancel, candidates) = (Vec::new(), Cache::new());
         for (&id, pending) in &self.calls {
-            let Some(out) = pending.out else { continue };
-            let Some(server) = self.servers.get(&out.server) else { continue };
-            let age = (self.now - out.sent) as f64 - server.base();
-            if age < self.pressed || pending.withdrawn {
+            let Some(active_attempt) = pending.active_attempt else { continue };
+            let Some(server) = self.servers.get(&active_attempt.server) else { continue };
+            let age = (self.now - active_attempt.sent) as f64 - server.min_lag();
+            if age < self.pressed_wait || pending.cancelled {
                 continue;
             }
-            let at = self.now + self.settings.release;
-            let lost = out.sent <= server.answered_sent;
+            let retry_at = self.now + self.settings.release;
+            let overtaken = active_attempt.sent <= server.answered_sent;
             let class = &self.settings.classes[pending.call.class];
-            // What has waited long is likely to wait as long again; what was overtaken is lost.
-            let stay = if lost { 0.0 } else { self.gain(pending, self.now, 1.0, age) };
-            // The server that answers what came after it may well take it anew.
-            let but = (!lost).then_some(out.server);
-            let faces = faces.get_or_init(|| self.faces());
-            let Some((score, _)) = self.best(faces, pending, at, but) else { continue };
-            if score > stay + RESCUE * class.worth {
-                cancelled.push(id);
+            // A set-up that has waited long is likely to wait as long again; an overtaken one is lost.
+            let current = if overtaken { 0.0 } else { self.expected_worth(pending, self.now, 1.0, age) };
+            // A server that answered a later set-up may accept a lost one again.
+            let excluded = (!overtaken).then_some(active_attempt.server);
+            let candidates = candidates.get_or_init(|| self.candidates());
+            let Some((score, _)) = self.best_route(candidates, pending, retry_at, excluded) else { continue };
+            if score > current + CANCEL_MARGIN * class.worth {
+                to_cancel.push(id);
             }
         }
-        for id in cancelled {
+        for id in to_cancel {
             let Some(pending) = self.calls.get_mut(&id) else { continue };
-            pending.withdrawn = true;
+            pending.cancelled = true;
             actions.push(Action::Cancel { call: id, attempt: pending.attempts - 1 });
         }
     }
 
-    fn send(&mut self, id: CallId, to: ServerId, actions: &mut Vec<Action>) {
+    fn send_attempt(&mut self, id: CallId, to: ServerId, actions: &mut Vec<Action>) {
         let now = self.now;
-        let (nodes, pressed) = (f64::from(self.settings.balancers), self.pressed);
+        let (nodes, pressed_wait) = (f64::from(self.settings.balancers), self.pressed_wait);
         let Some(server) = self.servers.get(&to) else { return };
-        let unit = 1e6 / self.warm_rate(server.place);
+        let set_up_work = 1e6 / self.warm_rate(server.place);
         let Some(pending) = self.calls.get(&id) else { return };
-        let rank = self.rank(pending);
-        self.waiting.remove(&rank);
+        let queue_key = self.queue_key(pending);
+        self.waiting.remove(&queue_key);
         let Some(pending) = self.calls.get_mut(&id) else { return };
         let Some(server) = self.servers.get_mut(&to) else { return };
         let aim = self.settings.classes[pending.call.class].aim;
-        pending.withdrawn = false;
+        pending.cancelled = false;
         server.last_sent = now;
-        server.open.insert((now, id, pending.attempts));
-        server.settle(now);
-        server.own = OWN * (unit * nodes).min(pressed);
-        server.wait += server.own;
+        server.unanswered.insert((now, id, pending.attempts));
+        server.update_wait(now);
+        server.own_send_wait = OWN_SEND_SHARE * (set_up_work * nodes).min(pressed_wait);
+        server.wait += server.own_send_wait;
         server.free = server.free.map(|free| free - pending.call.width);
         pending.attempts += 1;
-        pending.out = Some(Out { server: to, sent: now });
-        // A node that stalls at the caller's deadline would miss it, so it asks for the outcome earlier, but
-        // not before the aim is over.
-        let left = pending.ends - now;
-        let timeout = match self.stalled.0 {
+        pending.active_attempt = Some(Attempt { server: to, sent: now });
+        // A node that stalls at the caller's deadline would answer too late. It therefore sets an earlier
+        // time-out, but not before the aim has passed.
+        let left = pending.patience_ends - now;
+        let timeout = match self.longest_stall.0 {
             0 => 0,
-            stalled => left.min((left - stalled).max(pending.arrived + aim - now)).max(1),
+            max_stall => left.min((left - max_stall).max(pending.arrived + aim - now)).max(1),
         };
         actions.push(Action::Send { call: id, server: to, timeout });
     }
 
-    /// The final answer to a call that is not sent (again).
+    /// Gives the final answer to a call that is not sent (again).
     fn give_up(&mut self, id: CallId, actions: &mut Vec<Action>) {
         let Some(pending) = self.calls.get(&id) else { return };
         let class = &self.settings.classes[pending.call.class];
@@ -932,13 +980,13 @@
         } else {
             actions.push(Action::Fail(id));
         }
-        self.forget(id);
+        self.remove_call(id);
     }
 
-    // ---- The score ----
+    // ---- Scoring ----
 
-    /// Whether rules and settings let this call go to a server of this place and zone at all.
-    fn permitted(&self, pending: &Pending, id: ServerId, place: i64, zone: u32) -> bool {
+    /// Whether rules and settings allow this call to be sent to a server of this place and zone.
+    fn permitted(&self, pending: &PendingCall, id: ServerId, place: i64, zone: u32) -> bool {
         let (call, class) = (&pending.call, &self.settings.classes[pending.call.class]);
         let direct = place == call.destination;
         let listed = match (self.settings.home, &class.allowed) {
@@ -961,70 +1009,88 @@
         listed && repeatable
     }
 
-    /// The servers that are open to calls at this moment. Where this node knows little of one, it takes the
-    /// wait to be what it meets elsewhere: what hundreds of other nodes sent there it can't know.
-    fn faces(&self) -> Vec<Face> {
-        let mut faces: Vec<_> = self.servers.iter().filter_map(|(&id, one)| self.face(id, one)).collect();
-        let known = faces.iter().map(|face| face.known).sum::<f64>().max(1.0);
-        let usual = faces.iter().map(|face| face.known * face.wait).sum::<f64>() / known;
-        faces.iter_mut().for_each(|face| face.wait = face.wait.max(usual * PRIOR / (face.known + PRIOR)));
-        faces
+    /// The servers that accept calls at this moment. If this node has few answers from a server, it assumes
+    /// the mean wait at the other servers, since it can't know what hundreds of other nodes sent there.
+    fn candidates(&self) -> Vec<Candidate> {
+        let mut candidates: Vec<_> =
+            self.servers.iter().filter_map(|(&id, server)| self.candidate(id, server)).collect();
+        let total_answered =
+            candidates.iter().map(|candidate| candidate.answered_count).sum::<f64>().max(1.0);
+        let mean_wait =
+            candidates.iter().map(|candidate| candidate.answered_count * candidate.wait).sum::<f64>()
+                / total_answered;
+        candidates.iter_mut().for_each(|candidate| {
+            candidate.wait =
+                candidate.wait.max(mean_wait * PRIOR_OUTCOMES / (candidate.answered_count + PRIOR_OUTCOMES))
+        });
+        candidates
     }
 
-    fn face(&self, id: ServerId, server: &Server) -> Option<Face> {
+    fn candidate(&self, id: ServerId, server: &Server) -> Option<Candidate> {
         let now = self.now;
-        let warmth = self.warmth(server);
-        if !server.ready || server.next_line > now || warmth < 1.0 && !self.has_turn(server, warmth) {
+        let warm_share = self.warm_share(server);
+        if !server.ready
+            || server.retry_line_at > now
+            || warm_share < 1.0 && !self.has_turn(server, warm_share)
+        {
             return None;
         }
-        // A silent server gets lone trial calls, of those that nothing better takes: silence must not keep
-        // it out for good.
-        let silent = server.health(now, self.pressed) == Health::Silent;
+        // A silent server still gets single trial calls that have no better route, so that it is not excluded
+        // for ever.
+        let silent = server.health(now, self.pressed_wait) == Health::Silent;
         if silent {
-            let fleet = (f64::from(self.settings.balancers) * 1e6
-                / (TRIAL_USE * self.warm_rate(server.place)))
-            .min(TRIAL_MOST * AGEING);
-            let quiet = (now - server.last_sent) as f64;
-            if quiet < fleet * (server.lost.max(1) - 1 + server.open.len()) as f64 {
+            let trial_interval = (f64::from(self.settings.balancers) * 1e6
+                / (TRIAL_LOAD_SHARE * self.warm_rate(server.place)))
+            .min(TRIAL_PAUSE_MAX_DECAYS * EVIDENCE_DECAY_US);
+            let since_last_send = (now - server.last_sent) as f64;
+            if since_last_send
+                < trial_interval * (server.silent_attempts.max(1) - 1 + server.unanswered.len()) as f64
+            {
                 return None;
             }
         }
-        let mut stands = (1.0 - server.failed.value(now)) * (1.0 - server.lineless.value(now));
-        if silent || server.doubted {
-            stands *= AGAIN;
+        let mut success = (1.0 - server.failed.value(now)) * (1.0 - server.no_line.value(now));
+        if silent || server.group_suspect {
+            success *= SILENT_SUCCESS_FACTOR;
         }
-        Some(Face {
+        Some(Candidate {
             id,
             place: server.place,
             zone: server.zone,
             free: server.free,
-            base: server.base(),
-            wait: if silent { server.drained(now) } else { server.expected(now) },
-            known: server.answered.all * server.answered.faded(now),
-            stands,
-            passes: 1.0 - server.turned.value(now),
+            min_lag: server.min_lag(),
+            wait: if silent { server.decayed_wait(now) } else { server.expected_wait(now) },
+            answered_count: server.answered.all * server.answered.decay_factor(now),
+            success,
+            not_turned_back: 1.0 - server.turned_back.value(now),
         })
     }
 
-    /// The route of the best score above zero for a call that would be sent at the moment `at`.
-    fn best(&self, faces: &[Face], pending: &Pending, at: Micros, but: Option<ServerId>) -> Best {
-        if pending.attempts >= self.settings.max_attempts || at >= pending.ends {
+    /// The route with the highest score above zero for a call that would be sent at the time `at`.
+    fn best_route(
+        &self,
+        candidates: &[Candidate],
+        pending: &PendingCall,
+        at: Micros,
+        excluded: Option<ServerId>,
+    ) -> ScoredRoute {
+        if pending.attempts >= self.settings.max_attempts || at >= pending.patience_ends {
             return None;
         }
-        let near = NEAR * self.cheapest;
-        let mut best: Best = None;
-        for face in faces {
-            let id = face.id;
-            if but == Some(id) || !self.permitted(pending, id, face.place, face.zone) {
+        let tie_margin = NEAR_TIE_MARGIN * self.lowest_worth;
+        let mut best: ScoredRoute = None;
+        for candidate in candidates {
+            let id = candidate.id;
+            if excluded == Some(id) || !self.permitted(pending, id, candidate.place, candidate.zone) {
                 continue;
             }
-            let mut score = self.score(pending, face, at);
+            let mut score = self.score(pending, candidate, at);
             if score > 0.0 {
-                // The first choice wins near-ties and chance settles them between the others, so that
-                // nodes with one view don't herd.
-                let direct = face.place == pending.call.destination;
-                let mark = (pending.call.id.0 << 16) ^ (u64::from(id.0) + 1);
-                score += near * if direct { 1.0 } else { self.random.draw(mark) };
+                // The first choice wins near-ties. Ties between other routes are broken at random, so that
+                // nodes with the same information don't all pick the same server.
+                let direct = candidate.place == pending.call.destination;
+                let key = (pending.call.id.0 << 16) ^ (u64::from(id.0) + 1);
+                score += tie_margin * if direct { 1.0 } else { self.random.draw(key) };
             }
             if score > 0.0 && best.is_none_or(|(top, _)| score > top) {
                 best = Some((score, id));
@@ -1033,35 +1099,38 @@
         best
     }
 
-    fn score(&self, pending: &Pending, face: &Face, at: Micros) -> f64 {
+    fn score(&self, pending: &PendingCall, candidate: &Candidate, at: Micros) -> f64 {
         let (now, call) = (self.now, &pending.call);
-        let direct = face.place == call.destination;
-        if face.free.is_some_and(|free| free < call.width) {
+        let direct = candidate.place == call.destination;
+        if candidate.free.is_some_and(|free| free < call.width) {
             return f64::NEG_INFINITY;
         }
-        let (mut wait, mut stands) = (face.wait, face.stands);
+        let (mut wait, mut success) = (candidate.wait, candidate.success);
         if !direct && self.settings.home.is_some() {
-            // Two legs: the tandem's own refusals, and the destination's processor behind it.
-            stands *= face.passes;
-            if let Some(far) = self.servers.values().find(|far| far.place == call.destination) {
-                stands *= 1.0 - far.failed.value(now);
-                wait += far.expected(now);
+            // Two legs: the tandem may turn the call back, and the destination's processor adds its wait.
+            success *= candidate.not_turned_back;
+            if let Some(far_server) =
+                self.servers.values().find(|far_server| far_server.place == call.destination)
+            {
+                success *= 1.0 - far_server.failed.value(now);
+                wait += far_server.expected_wait(now);
             }
         }
-        let gain = self.gain(pending, at, stands, face.base + wait);
-        let price = self.cheapest * (wait / self.pressed).powi(PRICE_POWER) * call.width;
-        gain - price - if direct { 0.0 } else { SECOND_COST * self.cheapest }
+        let worth = self.expected_worth(pending, at, success, candidate.min_lag + wait);
+        let price = self.lowest_worth * (wait / self.pressed_wait).powi(PRICE_EXPONENT) * call.width;
+        worth - price - if direct { 0.0 } else { SECOND_CHOICE_COST * self.lowest_worth }
     }
 
-    /// Expected worth of a call that meets this delay from the moment `at` on.
-    fn gain(&self, pending: &Pending, at: Micros, stands: f64, delay: f64) -> f64 {
+    /// Expected worth of a call that is sent at the time `at` and takes this long to be established.
+    fn expected_worth(&self, pending: &PendingCall, at: Micros, success: f64, delay: f64) -> f64 {
         let class = &self.settings.classes[pending.call.class];
-        let here = (at - pending.arrived) as f64 + delay;
-        let (sure, lost) = CURVE;
-        let missing =
-            |time: f64, limit: Micros| ((time / limit.max(1) as f64 - sure) / (lost - sure)).clamp(0.0, 1.0);
-        let missed = missing(here + pending.used_before as f64, class.aim);
-        let late = (1.0 - missing(here, pending.call.patience)).min(missed);
-        class.worth * stands * ((1.0 - missed) + class.late_worth * late)
+        let elapsed = (at - pending.arrived) as f64 + delay;
+        let (sure_share, hopeless_share) = SUCCESS_CURVE;
+        let missing = |time: f64, limit: Micros| {
+            ((time / limit.max(1) as f64 - sure_share) / (hopeless_share - sure_share)).clamp(0.0, 1.0)
+        };
+        let missed = missing(elapsed + pending.used_before as f64, class.aim);
+        let late = (1.0 - missing(elapsed, pending.call.patience)).min(missed);
+        class.worth * success * ((1.0 - missed) + class.late_worth * late)
     }
 }
--- a/crates/lemoncleat/src/interface.rs
+++ b/crates/lemoncleat/src/interface.rs
@@ -1,29 +1,29 @@
-//! The types that cross the border of the decision module: settings, events and actions.
+//! The public types of the decision module: settings, events and actions.
 //!
-//! Times are integer microseconds on the caller's clock. Nothing here decides anything.
+//! Times are integer microseconds on the host's clock. This file contains no decision logic.
 
 pub(crate) use serde::{Deserialize, Serialize};
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
-/// A call, as named by the host of the controller. Never reused within one controller's life.
+/// Identifies a call. Assigned by the controller's host, and never reused while the controller exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct CallId(pub u64);
 
-/// A call server, as named by the host of the controller. It stays the same over restarts.
+/// Identifies a call server. Assigned by the controller's host, and unchanged when the server restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ServerId(pub u32);
 
-/// What repeating a call of a class may do.
+/// Whether a call of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Effect {
-    /// It may be repeated and refused at will.
+    /// It may be repeated and refused at any time.
     #[default]
     Safe,
-    /// Repeats are discarded by the servers of the same [`DedupGroup`] for a while.
+    /// The servers of the same [`DedupGroup`] discard repeats during [`Class::dedup_window`].
     Dedup,
-    /// It must never run twice.
+    /// It must not run more than once.
     Fragile,
 }
 
@@ -35,86 +35,86 @@
     All,
     /// The servers of one zone.
     Zone,
-    /// The one place (pool or exchange).
+    /// The servers of one place (pool or exchange).
     Cell,
 }
 
 /// A class of calls.
 #[derive(Clone, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct Class {
-    /// A call that stands within this time earns its full worth.
+    /// A call established within this time earns its full worth.
     pub aim: Micros,
-    /// How long a caller goes on trying, from the first try.
+    /// How long a caller keeps trying, counted from the first try.
     pub deadline: Micros,
-    /// Worth of a call that stands until its end.
+    /// Worth of a call that is established and lasts until its regular end.
     pub worth: f64,
-    /// Share of the worth earned by a call that stands after its aim.
+    /// Share of the worth earned by a call that is established after its aim.
     pub late_worth: f64,
-    /// Mean length of a call that stands; 0 where unknown.
+    /// Mean duration of an established call; 0 if unknown.
     pub length: Micros,
-    /// What repeats do.
+    /// Whether calls may be repeated.
     pub effect: Effect,
-    /// Where repeats are discarded.
+    /// Which servers discard repeats.
     pub dedup_group: DedupGroup,
-    /// How long repeats are discarded, from the earliest send that may have run.
+    /// How long repeats are discarded, counted from the first attempt that may have run.
     pub dedup_window: Micros,
-    /// Numbers of the pools that may take the class; `None` where any server may.
+    /// Numbers of the pools that may take the class; `None` if any server may.
     pub allowed: Option<Vec<i64>>,
 }
 
 /// How the list of servers reaches the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Membership {
-    /// Changes come unasked.
+    /// Changes are delivered without a request.
     #[default]
     Automatic,
-    /// Changes come only after [`Action::Watch`] or [`Action::Fetch`].
+    /// Changes are delivered only after [`Action::Watch`] or [`Action::Fetch`].
     Subscribe,
 }
 
-/// What is known when a controller starts.
+/// The settings of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
     /// The classes of calls; a [`Call`] names one by its index.
     pub classes: Vec<Class>,
     /// Number of access nodes, this one included.
     pub balancers: u32,
-    /// The number of this node among them.
+    /// The number of this node among them, from 0.
     pub own_number: u32,
-    /// Number of the own exchange in a mesh; `None` where the servers are shared pools.
+    /// Number of this node's exchange in a mesh; `None` if the servers are shared pools.
     pub home: Option<i64>,
-    /// A set-up that waits at a processor is sent again after this; 0 where never.
+    /// A set-up that waits at a processor is sent again after this time; 0 if it never is.
     pub repeat: Micros,
-    /// After a time-out, reset or cancel a call is not sent again before this has passed.
+    /// A call is not sent again until this time after a time-out, reset or cancel has passed.
     pub release: Micros,
-    /// A full processor tells how long to wait.
+    /// A full processor reports how long to wait.
     pub tells_wait: bool,
-    /// How the list of servers comes.
+    /// How the list of servers is delivered.
     pub membership: Membership,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts per call.
     pub max_attempts: u32,
-    /// Longest time to come back in that callers follow; `None` where they are told none.
+    /// Longest retry-after time that callers follow; `None` if callers get no such hint.
     pub max_retry_hint: Option<Micros>,
-    /// [`Action::Cancel`] is allowed.
+    /// Whether [`Action::Cancel`] is allowed.
     pub may_cancel: bool,
-    /// [`Action::Probe`] is allowed.
+    /// Whether [`Action::Probe`] is allowed.
     pub may_probe: bool,
-    /// [`Action::Tell`] is allowed.
+    /// Whether [`Action::Tell`] is allowed.
     pub may_tell: bool,
-    /// A server starts with at least this share of its capacity.
+    /// Lower bound of the share of its capacity that a server has when it starts.
     pub cold_from: f64,
-    /// A server is warm at the latest after this.
+    /// Upper bound of the time until a started server is warm.
     pub cold_span: Micros,
-    /// A cold server falls over when sent this multiple of what it can do ...
+    /// A cold server falls over when it is sent this multiple of its current capacity ...
     pub fall_multiple: f64,
     /// ... for this long.
     pub fall_span: Micros,
-    /// Shortest gap between two events' moments; 0 where unknown.
+    /// Shortest interval between the times of two events; 0 if unknown.
     pub resolution: Micros,
 }
 
 impl Default for Settings {
-    /// One node before shared pools, with no class yet and nothing optional allowed.
+    /// One node before shared pools, without classes and with all optional actions disallowed.
     fn default() -> Self {
         Settings {
             classes: Vec::new(),
@@ -140,306 +140,306 @@
 }
 
 impl Settings {
-    /// Whether a controller can work with these figures.
+    /// Checks that a controller can work with these settings.
     ///
     /// # Errors
     ///
-    /// When there are no classes or no nodes, or a figure is negative or not finite.
+    /// Fails if there are no classes or no nodes, or if a figure is negative or not finite.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let bad = |what: &str| Err(SettingsError(what.to_owned()));
+        let unusable = |what: &str| Err(SettingsError(what.to_owned()));
         if self.classes.is_empty() {
-            return bad("no classes");
+            return unusable("no classes");
         }
         if self.balancers == 0 {
-            return bad("no access nodes");
+            return unusable("no access nodes");
         }
         for class in &self.classes {
             if class.aim <= 0 || class.deadline <= 0 || class.dedup_window < 0 {
-                return bad("a class needs an aim and a deadline above zero");
+                return unusable("a class needs an aim and a deadline above zero");
             }
             let worths = [class.worth, class.late_worth];
             if worths.iter().any(|worth| !worth.is_finite() || *worth < 0.0) {
-                return bad("a class needs finite worths, not below zero");
+                return unusable("a class needs finite worths, not below zero");
             }
         }
         let spans = [self.repeat, self.release, self.cold_span, self.fall_span];
         if spans.iter().any(|&span| span < 0) {
-            return bad("a span below zero");
+            return unusable("a time span is negative");
         }
         let shares = [self.cold_from, self.fall_multiple];
         if shares.iter().any(|share| !share.is_finite() || *share <= 0.0) {
-            return bad("the figures of cold servers must be above zero");
+            return unusable("the figures of cold servers must be above zero");
         }
         Ok(())
     }
 }
 
-/// Whether a listed server takes work.
+/// Whether a listed server accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Availability {
-    /// It takes calls.
+    /// It accepts calls.
     Ready,
-    /// It completes what it has and must be sent nothing new.
+    /// It completes its current calls and must not be sent new ones.
     Draining,
-    /// It was taken away.
+    /// It was removed.
     Gone,
 }
 
-/// One line of the list of servers.
+/// An entry of the list of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// Whether it takes work.
+    /// Whether it accepts calls.
     pub availability: Availability,
-    /// When it last started; `None` if long ago.
+    /// When it last started; `None` if that is long ago.
     pub started_at: Option<Micros>,
-    /// Its number among exchanges or pools.
+    /// The number of its exchange or pool.
     pub place: i64,
-    /// Its zone, as an index that the host gives out.
+    /// Its zone, as an index assigned by the host.
     pub zone: u32,
-    /// Its kind of machine, as an index that the host gives out.
+    /// Its kind of machine, as an index assigned by the host.
     pub kind: u32,
 }
 
-/// What a piece of news about the list holds.
+/// An update of the list of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum MemberNews {
-    /// Only what changed.
+    /// Only the changed entries.
     Changes(Vec<Member>),
-    /// All there are; what is missing is gone.
+    /// The complete list; servers that are missing are gone.
     Complete(Vec<Member>),
-    /// A [`Action::Watch`] or [`Action::Fetch`] failed; the old list stays.
+    /// An [`Action::Watch`] or [`Action::Fetch`] failed; the previous list remains valid.
     Failed,
 }
 
-/// A load report of a server; every figure may be missing.
+/// A load report of a server. Each figure is optional.
 #[derive(Clone, Copy, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Free circuits or lines toward the server.
+    /// Free circuits or lines towards the server.
     pub free: Option<f64>,
-    /// Their number.
+    /// Total number of circuits or lines.
     pub lines: Option<f64>,
     /// Messages waiting at its processor.
     pub queue: Option<f64>,
-    /// Messages in process there.
+    /// Messages being processed there.
     pub active: Option<f64>,
-    /// Busy share of its processor, 0 to 1.
+    /// Utilization of its processor, 0 to 1.
     pub busy: Option<f64>,
-    /// Wait at its processor.
+    /// Waiting time at its processor.
     pub wait: Option<Micros>,
-    /// Set-ups a second that it can take from all senders.
+    /// Set-ups per second that it can take from all senders.
     pub allowed: Option<f64>,
-    /// Share of set-ups that each sender is asked to hold back.
+    /// Share by which each sender is asked to reduce its set-ups.
     pub cut_by: Option<f64>,
 }
 
-/// Why a set-up did not come about, as far as the server said.
+/// Why a set-up failed, as far as the server reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Reason {
-    /// Nothing was said.
+    /// No reason was given.
     #[default]
     None,
     /// No circuit or agent was free.
     NoCircuit,
-    /// The tandem turned it back; `far_processor` where the processor beyond was full.
+    /// The tandem turned the call back.
     TurnedBack {
-        /// The destination's processor was full.
+        /// Whether the destination's processor was full.
         far_processor: bool,
     },
-    /// The processor was full, with the wait that it told.
+    /// The processor was full.
     ProcessorFull {
-        /// How long to wait, 0 where not told.
+        /// How long to wait before the next set-up, 0 if not reported.
         wait: Micros,
     },
-    /// Every line of the number called is busy.
+    /// All lines of the called number are busy.
     LinesBusy,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The call stood and has ended.
+    /// The call was established and has ended.
     Ok,
-    /// Number busy or a signalling fault.
+    /// The number was busy, or there was a signalling error.
     Error,
-    /// Not set up: something was full. It never ran.
+    /// Not set up for lack of capacity. It never ran.
     Full,
     /// No answer in time. It may have run.
     TimedOut,
-    /// No connection. It never ran.
+    /// There was no connection. It never ran.
     Unreachable,
-    /// Set-up or call was cut.
+    /// The set-up or the call was cut off.
     Reset,
-    /// Withdrawn.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Not sent at all.
+    /// The attempt was never sent.
     Moot,
 }
 
 /// A new call.
 #[derive(Clone, Debug, PartialEq, Default, Serialize, Deserialize)]
 pub struct Call {
-    /// Its name.
+    /// Identifies the call.
     pub id: CallId,
     /// Index into [`Settings::classes`].
     pub class: usize,
-    /// How long the caller waits on this try.
+    /// How long the caller waits during this try.
     pub patience: Micros,
-    /// Circuits that it takes.
+    /// Number of circuits that it occupies.
     pub width: f64,
-    /// Number of the destination, or of the pool of first choice.
+    /// Number of the destination exchange, or of the first-choice pool.
     pub destination: i64,
-    /// Number of the tandem that central advice names.
+    /// Number of the tandem that the central routing advice names.
     pub advised: Option<i64>,
-    /// Forwarded by another node: it goes to its destination or back.
+    /// Whether another node forwarded it. Such a call goes to its destination or is turned back.
     pub in_transit: bool,
-    /// Known to be dialled again.
+    /// Whether it is known to be a redialled call.
     pub redialled: bool,
-    /// It was cut and comes again.
+    /// Whether it is a repeat of a call that was cut off.
     pub cut: bool,
 }
 
-/// What a controller is told.
+/// An input of a controller.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// News about the list of servers.
+    /// The list of servers was updated.
     Members(MemberNews),
-    /// A call was handed over; it is owed one final answer.
+    /// A new call arrived. It must get exactly one final answer.
     Call(Call),
-    /// A set-up succeeded: the call stands.
+    /// A set-up succeeded: the call is established.
     Started {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// At which server.
+        /// The server.
         server: ServerId,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         lag: Micros,
     },
     /// An attempt ended.
     Ended {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// At which server.
+        /// The server.
         server: ServerId,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         lag: Micros,
-        /// The call has its final answer.
+        /// Whether the call already has its final answer.
         closed: bool,
-        /// What the server said.
+        /// The reason that the server gave.
         reason: Reason,
-        /// The server's load.
+        /// The server's load report.
         report: Report,
     },
-    /// The caller left; no answer is owed any more.
+    /// The caller hung up; no answer is needed any more.
     CallerGone(CallId),
-    /// A timer came due.
+    /// The timer with this token expired.
     Timer(u64),
-    /// A probe was answered, or circuits changed (`lag` 0, unasked).
+    /// A probe was answered, or a server reported a change of its circuits on its own (`lag` is 0).
     Probed {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// Whether it answered well.
+        /// How the probe ended.
         outcome: Outcome,
         /// Time since the probe.
         lag: Micros,
-        /// The server's load.
+        /// The server's load report.
         report: Report,
     },
-    /// A note from another node.
+    /// A message from another node arrived.
     Note {
-        /// The number of its sender.
+        /// The number of the sending node.
         from: u32,
-        /// What it holds.
+        /// The content.
         bytes: Vec<u8>,
     },
 }
 
-/// How much a controller holds.
+/// The number of entries that a controller holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sizes {
-    /// Servers, those not yet forgotten included.
+    /// Servers, including those that left the list but are not yet removed.
     pub servers: usize,
-    /// Calls that are owed an answer.
+    /// Calls without a final answer.
     pub calls: usize,
-    /// Of them, calls that wait to be sent.
+    /// Of these, calls that wait to be sent.
     pub waiting: usize,
 }
 
-/// What a controller takes a server to be like.
+/// A controller's estimate of the state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// Free circuits or lines, own set-ups since the last news taken off.
+    /// Free circuits or lines, less this node's set-ups since the last report.
     pub free: Option<f64>,
-    /// Their number.
+    /// Total number of circuits or lines.
     pub lines: Option<f64>,
-    /// The wait that a set-up sent now would meet.
+    /// The wait that a set-up sent now is expected to meet.
     pub wait: Micros,
-    /// The way there and back with nobody waiting.
+    /// The round trip without queueing.
     pub way: Option<Micros>,
-    /// It answers nothing: it gets lone trial calls.
+    /// Whether it has stopped answering. Such a server gets single trial calls only.
     pub silent: bool,
 }
 
-/// What a controller asks for. Actions take effect in order, at the moment of the event.
+/// A request of a controller to its host. Actions take effect in order, at the time of the event.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
     /// Start a set-up of the call at the server.
     Send {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Where to.
+        /// The server.
         server: ServerId,
-        /// Give the attempt up after this; 0 for as long as the caller waits.
+        /// The attempt times out after this; 0 means as long as the caller waits.
         timeout: Micros,
     },
-    /// Final answer: turned away.
+    /// Final answer: the call is refused.
     Refuse {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// When to come back; 0 for no hint.
+        /// When the caller may try again; 0 for no hint.
         retry_after: Micros,
     },
-    /// Final answer: given up.
+    /// Final answer: the call has failed.
     Fail(CallId),
     /// Stop waiting for an attempt; it still ends with an [`Event::Ended`].
     Cancel {
-        /// Which call.
+        /// The call.
         call: CallId,
-        /// Which attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Request an [`Event::Timer`].
     Timer {
-        /// Comes back with the event.
+        /// Returned with the event.
         token: u64,
-        /// How long from now.
+        /// Time until the event.
         delay: Micros,
     },
-    /// Check a server, at a cost.
+    /// Probe a server, which costs processor work there.
     Probe(ServerId),
-    /// Send a note (256 bytes at most) to one node, or to all.
+    /// Send a message of at most 256 bytes to one node or to all.
     Tell {
-        /// The receiver's number; `None` for every node.
+        /// The number of the receiving node; `None` for all nodes.
         to: Option<u32>,
-        /// What it holds.
+        /// The content.
         bytes: Vec<u8>,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
-    /// Subscribe to the list of servers, or stop.
+    /// Subscribe to the list of servers, or cancel the subscription.
     Watch(bool),
-    /// Ask for the complete list once.
+    /// Request the complete list once.
     Fetch,
 }
 
-/// Settings that no controller can work with.
+/// The settings are unusable; the text gives the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
--- a/crates/lemoncleat/src/lib.rs
+++ b/crates/lemoncleat/src/lib.rs
@@ -1,11 +1,11 @@
 //! Admission and routing decisions of an access node in front of shared call servers.
 //!
-//! Each node scores every route for a new call as *worth x estimated chance of success - route
+//! Each node scores every route for a new call as *worth x estimated probability of success - route
 //! cost*, sends the call on the best route, and refuses it when none scores above zero (after
 //! Milito, Levy and Arian, "Dynamic Algorithms for Distributed Queues with Abandonments").
 //!
-//! A [`Controller`] is told what happens, with the time, and answers with actions. It does no I/O,
-//! reads no clock, starts no thread, and acts alike on the same events and seed.
+//! A [`Controller`] receives timestamped events and returns actions. It does no I/O, reads no clock,
+//! starts no thread, and is deterministic: the same events and seed give the same actions.
 //!
 //! ```
 //! use lemoncleat::{
@@ -25,7 +25,10 @@
 //! let id = CallId(1);
 //! let call = Call { id, patience: 3_000_000, width: 1.0, ..Call::default() };
 //! controller.handle(10_000, Event::Call(call), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { call, server: s, .. } if *call == id && *s == server)));
+//! let to_server = |action: &Action| {
+//!     matches!(action, Action::Send { call, server: to, .. } if *call == id && *to == server)
+//! };
+//! assert!(actions.iter().any(to_server));
 //! # Ok::<(), lemoncleat::SettingsError>(())
 //! ```
 
@@ -34,7 +37,7 @@
 mod random;
 mod state;
 
-/// The examples of the README, kept true by the tests.
+/// Compiles the examples of the README as documentation tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/crates/lemoncleat/src/state.rs
+++ b/crates/lemoncleat/src/state.rs
@@ -1,15 +1,15 @@
-//! What makes a [`Controller`](crate::Controller) something that can be stored, sent and played on elsewhere.
+//! Support for storing a [`Controller`](crate::Controller), or sending it, and resuming it elsewhere.
 //!
-//! A controller is serialized whole, its settings first. One that is read back acts as the one that was
-//! written, bit by bit: floats keep their bits, what was put together ahead comes along.
+//! A controller is serialized completely, its settings first. A deserialized controller makes exactly the
+//! same decisions as the original: floats keep their bits, and cached values are included.
 
 use std::cell::OnceCell;
 use std::ops::{Deref, DerefMut};
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The sources that decide, by file name, as this build has them. Two builds with other words here may decide
-/// otherwise.
+/// The source files of this crate, by file name, as compiled into this build. Two builds whose sources differ
+/// may make different decisions.
 pub const SOURCES: &[(&str, &str)] = &[
     ("decide.rs", include_str!("decide.rs")),
     ("interface.rs", include_str!("interface.rs")),
@@ -18,7 +18,7 @@
     ("state.rs", include_str!("state.rs")),
 ];
 
-/// A cell that is filled at its first use, and serialized as it stands.
+/// A cell that is filled at its first use, and serialized with its current content.
 #[derive(Clone)]
 pub(crate) struct Cache<T>(OnceCell<T>);
 
@@ -43,25 +43,25 @@
 }
 
 impl<T: Serialize> Serialize for Cache<T> {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        self.0.get().serialize(to)
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        self.0.get().serialize(serializer)
     }
 }
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Cache<T> {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let filled = Option::<T>::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let filled = Option::<T>::deserialize(deserializer)?;
         Ok(Cache(filled.map_or_else(OnceCell::new, OnceCell::from)))
     }
 }
 
 #[cfg(test)]
 mod tests {
-    /// A source that is not listed would change decisions under the same version.
+    /// A source file missing from the list could change decisions without a change of version.
     #[test]
     fn every_source_is_listed() {
-        let here = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
-        let mut names: Vec<String> = std::fs::read_dir(here)
+        let directory = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
+        let mut names: Vec<String> = std::fs::read_dir(directory)
             .expect("sources")
             .map(|entry| entry.expect("entry").file_name().into_string().expect("name"))
             .collect();
