--- a/crates/lemoncleat/tests/common/mod.rs
+++ b/crates/lemoncleat/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Steps that the module's tests share.
+//! Helpers shared by the tests of the decision module.
 
 use lemoncleat::{
     Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews, Micros, Outcome,
@@ -10,7 +10,7 @@
 /// A second.
 pub const S: Micros = 1_000_000;
 
-/// Settings of one node before pools: class 0 is cheap, class 1 dear.
+/// Settings of one node before pools. Class 0 has a low worth and class 1 a high worth.
 pub fn settings() -> Settings {
     let class = |aim, worth| Class { aim, deadline: 9 * S, worth, late_worth: 0.2, ..Class::default() };
     Settings {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A controller with its clock, for tests that read like a log.
+/// A controller and its clock.
 pub struct Node {
     pub controller: Controller,
     pub now: Micros,
@@ -35,7 +35,7 @@
 
 #[allow(dead_code)]
 impl Node {
-    /// A node whose list names the servers 0 to `servers` as long warm, each at the place of its number.
+    /// A node with warm servers, numbered from 0, each at the place of its number.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let controller = Controller::new(settings, 1).expect("usable settings");
         let mut node = Node { controller, now: 100 * S };
@@ -50,8 +50,8 @@
         actions
     }
 
-    /// Lets time pass, with the timer coming due every 10 ms as a host would have it.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Advances the clock by `span`, with a timer event every 10 ms.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let (end, mut actions) = (self.now + span, Vec::new());
         while self.now < end {
             self.now = (self.now + 10 * MS).min(end);
@@ -64,7 +64,7 @@
         self.handle(Event::Call(call(id, class, destination)))
     }
 
-    pub fn change(
+    pub fn update_member(
         &mut self,
         number: u32,
         availability: Availability,
@@ -97,15 +97,16 @@
         })
     }
 
-    /// Calls of the cheap class answered after `lag`, one every `gap`, all at the first choice `server`.
-    pub fn served(&mut self, first: u64, count: u64, server: u32, lag: Micros, gap: Micros) {
+    /// Places calls of class 0 with the first choice `server`. Each is answered after `lag`, and `gap` passes
+    /// before the next.
+    pub fn serve_calls(&mut self, first: u64, count: u64, server: u32, lag: Micros, gap: Micros) {
         for id in first..first + count {
             let actions = self.call(id, 0, i64::from(server));
-            self.pass(lag);
+            self.advance(lag);
             if sent(&actions).is_some() {
                 self.started(id, 0, sent(&actions).unwrap_or(server), lag);
             }
-            self.pass(gap);
+            self.advance(gap);
         }
     }
 }
@@ -119,7 +120,7 @@
     Call { id: CallId(id), class, patience: 3 * S, width: 1.0, destination, ..Call::default() }
 }
 
-/// The server of the first send among the actions.
+/// Returns the server of the first send among the actions.
 #[allow(dead_code)]
 pub fn sent(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
@@ -128,7 +129,7 @@
     })
 }
 
-/// Whether the actions hold a final answer to the call.
+/// Whether the actions contain a final answer to the call.
 #[allow(dead_code)]
 pub fn answered(actions: &[Action], id: u64) -> bool {
     actions.iter().any(|action| match action {
--- a/crates/lemoncleat/tests/module.rs
+++ b/crates/lemoncleat/tests/module.rs
@@ -1,4 +1,4 @@
-//! The decisions, one test for each failure that was found or feared.
+//! Tests of the decisions. Each guards against one failure, either observed or expected.
 
 mod common;
 
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn the_first_choice_takes_a_call_while_nothing_speaks_against_it() {
+fn sends_to_first_choice_by_default() {
     let mut node = Node::new(settings(), 3);
     for (id, place) in [(1, 0), (2, 1), (3, 2)] {
         assert_eq!(sent(&node.call(id, 0, place)), Some(place as u32));
@@ -17,19 +17,19 @@
 }
 
 #[test]
-fn a_call_is_refused_at_once_where_no_server_can_take_it() {
+fn refuses_at_once_when_no_server_may_take_the_call() {
     let mut empty = Node::new(settings(), 0);
     assert!(answered(&empty.call(1, 0, 0), 1));
 
     let mut limited = settings();
     limited.classes[0].allowed = Some(vec![7]);
-    let mut skilled = Node::new(limited, 3);
-    assert!(answered(&skilled.call(1, 0, 0), 1), "no listed pool has the skill");
-    assert!(sent(&skilled.call(2, 1, 0)).is_some(), "the other class may go anywhere");
+    let mut restricted = Node::new(limited, 3);
+    assert!(answered(&restricted.call(1, 0, 0), 1), "no allowed pool is listed");
+    assert!(sent(&restricted.call(2, 1, 0)).is_some(), "the other class may use any pool");
 }
 
 #[test]
-fn a_call_out_of_attempts_is_answered_at_once() {
+fn answers_at_once_when_attempts_are_used_up() {
     let mut node = Node::new(Settings { max_attempts: 1, ..settings() }, 2);
     let server = sent(&node.call(1, 0, 0)).expect("a send");
     let actions = node.ended(1, 0, server, Outcome::Unreachable, Reason::None);
@@ -37,16 +37,16 @@
 }
 
 #[test]
-fn a_refused_attempt_goes_to_another_server_at_once() {
+fn retries_refused_attempt_at_another_server() {
     let mut node = Node::new(settings(), 2);
     assert_eq!(sent(&node.call(1, 0, 0)), Some(0));
     let full = Reason::ProcessorFull { wait: 3 * S };
     assert_eq!(sent(&node.ended(1, 0, 0, Outcome::Full, full)), Some(1));
-    assert_eq!(sent(&node.call(2, 0, 0)), Some(1), "the told wait keeps later calls away as well");
+    assert_eq!(sent(&node.call(2, 0, 0)), Some(1), "the reported wait also diverts later calls");
 }
 
 #[test]
-fn a_busy_number_ends_the_call() {
+fn ends_call_when_number_is_busy() {
     let mut node = Node::new(settings(), 2);
     node.call(1, 0, 0);
     let actions = node.ended(1, 0, 0, Outcome::Error, Reason::LinesBusy);
@@ -55,180 +55,180 @@
 }
 
 #[test]
-fn under_pressure_cheap_calls_go_first_and_dear_ones_pass() {
+fn holds_back_low_worth_calls_under_pressure() {
     let mut node = Node::new(settings(), 1);
-    node.served(1, 5, 0, 20 * MS, 50 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 50 * MS);
     for id in 10..16 {
         node.call(id, 1, 0);
     }
-    node.pass(200 * MS);
+    node.advance(200 * MS);
     for id in 10..16 {
         node.started(id, 0, 0, 420 * MS);
     }
-    assert_eq!(sent(&node.call(20, 0, 0)), None, "a cheap call does not pay for its work");
-    assert!(sent(&node.call(21, 1, 0)).is_some(), "a dear one does");
+    assert_eq!(sent(&node.call(20, 0, 0)), None, "a low-worth call is held back");
+    assert!(sent(&node.call(21, 1, 0)).is_some(), "a high-worth call is sent");
 }
 
 #[test]
-fn a_wait_to_send_ends_with_refusal_before_the_aim_is_lost() {
+fn refuses_queued_call_before_its_aim_passes() {
     let mut node = Node::new(settings(), 1);
     node.call(1, 0, 0);
     let full = Reason::ProcessorFull { wait: 20 * S };
     node.ended(1, 0, 0, Outcome::Full, full);
     let actions = node.call(2, 0, 0);
-    assert!(sent(&actions).is_none() && !answered(&actions, 2), "it waits at the node");
-    assert!(answered(&node.pass(1_200 * MS), 2));
+    assert!(sent(&actions).is_none() && !answered(&actions, 2), "it is queued at the node");
+    assert!(answered(&node.advance(1_200 * MS), 2));
 }
 
 #[test]
-fn a_hung_server_is_left_and_its_calls_are_saved() {
+fn moves_calls_away_from_a_hung_server() {
     let mut node = Node::new(settings(), 2);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
-    node.served(11, 3, 1, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(11, 3, 1, 20 * MS, 20 * MS);
     assert_eq!(sent(&node.call(20, 1, 0)), Some(0));
-    let actions = node.pass(600 * MS);
+    let actions = node.advance(600 * MS);
     let cancel = Action::Cancel { call: CallId(20), attempt: 0 };
-    assert!(actions.contains(&cancel), "noticed long before any time-out");
+    assert!(actions.contains(&cancel), "detected long before any time-out");
     node.ended(20, 0, 0, Outcome::Cancelled, Reason::None);
-    assert_eq!(sent(&node.pass(290 * MS)), None, "the release is awaited");
-    assert_eq!(sent(&node.pass(20 * MS)), Some(1));
-    assert_eq!(sent(&node.call(21, 1, 0)), Some(1), "dear calls keep away from it");
+    assert_eq!(sent(&node.advance(290 * MS)), None, "the release is awaited");
+    assert_eq!(sent(&node.advance(20 * MS)), Some(1));
+    assert_eq!(sent(&node.call(21, 1, 0)), Some(1), "high-worth calls avoid it");
 }
 
 #[test]
-fn a_recovered_server_is_found_by_cheap_trials() {
+fn finds_recovered_server_by_trial_calls() {
     let mut node = Node::new(settings(), 1);
     node.call(1, 0, 0);
-    node.pass(3 * S);
+    node.advance(3 * S);
     node.ended(1, 0, 0, Outcome::TimedOut, Reason::None);
     let mut tried = None;
     for id in 10..200 {
-        node.pass(100 * MS);
+        node.advance(100 * MS);
         if sent(&node.call(id, 0, 0)).is_some() {
             tried = Some(id);
             break;
         }
     }
     let id = tried.expect("a trial within 19 s");
-    node.pass(20 * MS);
+    node.advance(20 * MS);
     node.started(id, 0, 0, 20 * MS);
-    assert!(sent(&node.call(300, 1, 0)).is_some(), "one answer clears it");
+    assert!(sent(&node.call(300, 1, 0)).is_some(), "one answer ends the trial state");
 }
 
 #[test]
-fn a_lost_set_up_does_not_shut_out_a_server_that_answers_later_ones() {
+fn keeps_using_server_that_answers_after_a_lost_set_up() {
     let mut node = Node::new(Settings { may_cancel: false, ..settings() }, 1);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
     node.call(10, 0, 0); // never answered
-    node.pass(100 * MS);
+    node.advance(100 * MS);
     node.call(11, 0, 0);
-    node.pass(20 * MS);
+    node.advance(20 * MS);
     node.started(11, 0, 0, 20 * MS);
-    node.pass(S);
+    node.advance(S);
     assert_eq!(sent(&node.call(12, 1, 0)), Some(0));
 }
 
 #[test]
-fn a_lost_set_up_is_sent_anew_to_the_server_that_answers_later_ones() {
-    // Recorded day re29b41: such calls waited for their callers' patience to end, as no other server had room.
+fn resends_lost_set_up_to_server_that_answers_later_ones() {
+    // Recorded day re29b41: no other server had room, so such calls waited until their callers gave up.
     let mut node = Node::new(settings(), 1);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
     node.call(10, 0, 0); // never answered
-    node.pass(100 * MS);
+    node.advance(100 * MS);
     node.call(11, 0, 0);
-    node.pass(20 * MS);
+    node.advance(20 * MS);
     node.started(11, 0, 0, 20 * MS);
     let cancel = Action::Cancel { call: CallId(10), attempt: 0 };
-    assert!(node.pass(200 * MS).contains(&cancel));
+    assert!(node.advance(200 * MS).contains(&cancel));
     node.ended(10, 0, 0, Outcome::Cancelled, Reason::None);
-    assert_eq!(sent(&node.pass(290 * MS)), None, "the release is awaited");
-    assert_eq!(sent(&node.pass(20 * MS)), Some(0));
+    assert_eq!(sent(&node.advance(290 * MS)), None, "the release is awaited");
+    assert_eq!(sent(&node.advance(20 * MS)), Some(0));
 }
 
 #[test]
-fn a_lost_set_up_everywhere_does_not_stop_the_node() {
-    // Incident if5bc97: one lost set-up at each server, and nothing was sent for nine seconds.
+fn keeps_sending_after_one_lost_set_up_at_every_server() {
+    // Incident if5bc97: after one lost set-up at each server, nothing was sent for nine seconds.
     let mut node = Node::new(Settings { may_cancel: false, ..settings() }, 3);
     for place in 0..3 {
         node.call(place as u64 + 1, 0, place);
     }
-    node.pass(S);
+    node.advance(S);
     assert!(sent(&node.call(10, 0, 0)).is_some());
 }
 
 #[test]
-fn a_second_or_later_try_is_worth_less_under_pressure() {
+fn values_repeated_try_less_under_pressure() {
     let mut node = Node::new(settings(), 1);
-    node.served(1, 5, 0, 20 * MS, 50 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 50 * MS);
     for id in 10..16 {
         node.call(id, 1, 0);
     }
-    node.pass(150 * MS);
+    node.advance(150 * MS);
     for id in 10..16 {
         node.started(id, 0, 0, 200 * MS);
     }
     let again = Call { patience: 7 * S, ..call(20, 0, 0) };
-    assert!(answered(&node.handle(Event::Call(again)), 20), "two seconds are gone already");
+    assert!(answered(&node.handle(Event::Call(again)), 20), "earlier tries have used two seconds already");
     assert!(!answered(&node.call(21, 0, 0), 21));
 }
 
 #[test]
-fn nothing_goes_to_a_draining_or_gone_server() {
+fn sends_nothing_to_draining_or_gone_server() {
     for state in [Availability::Draining, Availability::Gone] {
         let mut node = Node::new(settings(), 2);
-        node.change(0, state, None);
+        node.update_member(0, state, None);
         for id in 1..20 {
             assert_ne!(sent(&node.call(id, 0, 0)), Some(0));
         }
     }
     let mut node = Node::new(settings(), 2);
     node.handle(Event::Members(MemberNews::Complete(vec![member(1, Availability::Ready, None)])));
-    assert_ne!(sent(&node.call(1, 0, 0)), Some(0), "missing from a complete list is gone");
+    assert_ne!(sent(&node.call(1, 0, 0)), Some(0), "a server missing from a complete list is gone");
     node.handle(Event::Members(MemberNews::Complete(Vec::new())));
-    assert!(answered(&node.call(2, 0, 0), 2), "a list shrunk to nothing");
+    assert!(answered(&node.call(2, 0, 0), 2), "the list is empty");
 }
 
 #[test]
-fn servers_that_are_gone_are_forgotten_once_nothing_depends_on_them() {
+fn removes_gone_servers_without_unanswered_set_ups() {
     let mut node = Node::new(settings(), 2);
     for number in 2..200 {
-        node.change(number - 1, Availability::Gone, None);
-        node.change(number, Availability::Ready, None);
-        node.pass(S);
+        node.update_member(number - 1, Availability::Gone, None);
+        node.update_member(number, Availability::Ready, None);
+        node.advance(S);
     }
     assert!(node.controller.sizes().servers <= 14, "{:?}", node.controller.sizes());
-    // One with a set-up out stays until that has ended.
+    // A server with an unanswered set-up is kept until the set-up has ended.
     assert_eq!(sent(&node.call(1, 1, 199)), Some(199));
-    node.change(199, Availability::Gone, None);
+    node.update_member(199, Availability::Gone, None);
     node.now += 20 * S;
-    node.change(200, Availability::Ready, None);
+    node.update_member(200, Availability::Ready, None);
     assert!(node.controller.view(ServerId(199)).is_some());
     node.ended(1, 0, 199, Outcome::Reset, Reason::None);
     node.handle(Event::CallerGone(CallId(1)));
-    node.change(201, Availability::Ready, None);
+    node.update_member(201, Availability::Ready, None);
     assert!(node.controller.view(ServerId(199)).is_none());
     assert!(node.controller.view(ServerId(0)).is_some(), "it is listed");
 }
 
 #[test]
-fn what_a_forgotten_server_could_do_is_known_of_its_successor() {
-    let successor = |served: u64| {
+fn keeps_rate_of_removed_server_for_its_successor() {
+    let successor = |serve_calls: u64| {
         let mut node = Node::new(settings(), 1);
-        node.served(1, served, 0, 20 * MS, 10 * MS);
-        node.change(0, Availability::Gone, None);
+        node.serve_calls(1, serve_calls, 0, 20 * MS, 10 * MS);
+        node.update_member(0, Availability::Gone, None);
         node.now += 30 * S;
         let (cold, place) = (Some(node.now), 0);
         let next = Member { place, ..member(1, Availability::Ready, cold) };
         node.handle(Event::Members(MemberNews::Changes(vec![next])));
-        assert_eq!(node.controller.sizes().servers, 1, "its predecessor is forgotten");
-        // How much a cold server is sent at most comes from what the place is known to do.
+        assert_eq!(node.controller.sizes().servers, 1, "its predecessor is removed");
+        // The limit for a cold server is derived from the rate observed at its place.
         let mut sends = 0;
         for id in 1_000..1_200 {
             let mut actions = node.call(id, 0, 0);
-            actions.extend(node.pass(10 * MS));
+            actions.extend(node.advance(10 * MS));
             if sent(&actions).is_some() {
                 sends += 1;
-                node.pass(20 * MS);
+                node.advance(20 * MS);
                 node.started(id, 0, 1, 20 * MS);
             }
             node.handle(Event::CallerGone(CallId(id)));
@@ -236,32 +236,32 @@
         sends
     };
     let (little, much) = (successor(0), successor(400));
-    assert!(much > 2 * little, "{little} set-ups where nothing is known, {much} after a busy predecessor");
+    assert!(much > 2 * little, "{little} set-ups without a known rate, {much} after a busy predecessor");
 }
 
 #[test]
-fn answers_without_a_wait_take_off_what_their_own_set_ups_added() {
-    // Recorded day rbd0e3c: three nodes held waits of four times those met, and refused a tenth of the calls.
+fn answers_without_wait_remove_the_wait_added_by_own_sends() {
+    // Recorded day rbd0e3c: three nodes estimated four times the actual wait and refused a tenth of calls.
     let mut node = Node::new(Settings { balancers: 3, ..settings() }, 1);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
-    let mut most = 0;
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
+    let mut max_wait = 0;
     for id in 10..110 {
-        assert_eq!(sent(&node.call(id, 0, 0)), Some(0), "call {id} pays");
-        node.pass(20 * MS);
+        assert_eq!(sent(&node.call(id, 0, 0)), Some(0), "call {id} is sent");
+        node.advance(20 * MS);
         node.started(id, 0, 0, 20 * MS);
-        let held = node.controller.view(ServerId(0)).expect("it is listed").wait;
-        most = most.max(held);
-        node.pass(20 * MS);
+        let wait = node.controller.view(ServerId(0)).expect("it is listed").wait;
+        max_wait = max_wait.max(wait);
+        node.advance(20 * MS);
     }
-    // An own send adds half of three nodes' work, 50 to 100 ms here; two thirds of that or all is its own.
-    assert!(most > 0 && most <= 60 * MS, "{most} us held where nobody ever waited");
+    // One send adds half of three nodes' work, 50 to 100 ms here. An answer removes two thirds of it or all.
+    assert!(max_wait > 0 && max_wait <= 60 * MS, "{max_wait} us estimated although no call ever waited");
 }
 
 #[test]
-fn errors_that_a_server_answers_with_leave_no_wait_behind() {
-    // Recorded day rbd0e3c: a seventh of the set-ups came from callers whose set-ups no server can use.
+fn error_answers_remove_the_wait_added_by_own_sends() {
+    // Recorded day rbd0e3c: a seventh of the set-ups were invalid, and all servers answered them with errors.
     let mut node = Node::new(Settings { balancers: 3, max_attempts: 1, ..settings() }, 1);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
     let wait = |node: &Node| node.controller.view(ServerId(0)).expect("it is listed").wait;
     let before = wait(&node);
     assert_eq!(sent(&node.call(10, 1, 0)), Some(0));
@@ -270,30 +270,30 @@
     assert_eq!(
         (out - before) / MS,
         100,
-        "half a pressed wait, as a tenth of a second of work is not known yet"
+        "half a pressed wait, since no rate has been observed and the assumed work exceeds it"
     );
     assert_eq!(wait(&node), before);
 }
 
 #[test]
-fn a_drain_stops_further_attempts_and_calls_that_wait() {
+fn sends_no_further_attempt_to_a_draining_server() {
     let mut node = Node::new(settings(), 1);
     node.call(1, 0, 0);
-    node.change(0, Availability::Draining, None);
+    node.update_member(0, Availability::Draining, None);
     let actions = node.ended(1, 0, 0, Outcome::Unreachable, Reason::None);
     assert!(answered(&actions, 1) && sent(&actions).is_none());
 }
 
 #[test]
-fn a_cold_server_gets_a_smooth_share() {
+fn paces_sends_to_a_cold_server() {
     let cold = Settings { balancers: 5, ..settings() };
     let mut node = Node::new(cold, 1);
     let started = Some(node.now);
-    node.change(0, Availability::Ready, started);
+    node.update_member(0, Availability::Ready, started);
     let mut sends = 0;
     for id in 1..=300 {
         let actions = node.call(id, 1, 0);
-        let late = node.pass(10 * MS);
+        let late = node.advance(10 * MS);
         for action in actions.iter().chain(&late) {
             if let Action::Send { call, .. } = action {
                 sends += 1;
@@ -301,37 +301,37 @@
             }
         }
     }
-    // Three seconds; a node that knows nothing yet takes ten a second for the whole of a warm server.
+    // Within three seconds. A node without observations assumes ten set-ups per second for a warm server.
     assert!((1..=4).contains(&sends), "{sends} sends");
 }
 
 #[test]
-fn a_restart_under_the_same_name_is_cold_again() {
+fn treats_restarted_server_as_cold() {
     let mut node = Node::new(Settings { balancers: 5, ..settings() }, 1);
     assert_eq!(sent(&node.call(1, 1, 0)), Some(0));
     node.started(1, 0, 0, 10 * MS);
     let started = Some(node.now);
-    node.change(0, Availability::Ready, started);
+    node.update_member(0, Availability::Ready, started);
     let burst = (10..40).filter(|&id| sent(&node.call(id, 1, 0)).is_some()).count();
     assert!(burst <= 1, "{burst} sends at once");
 }
 
 #[test]
-fn a_send_before_a_restart_takes_no_turn_after_it() {
-    // The first turn at this place comes 0.14 s to 0.25 s after a start, as the one node judges it. The send
-    // lies as long before it.
+fn send_before_restart_uses_no_turn_after_it() {
+    // The first turn at this place comes 0.14 s to 0.25 s after a start, as this single node computes it. The
+    // send happens as long before the start.
     let mut node = Node::new(settings(), 0);
-    node.change(1, Availability::Ready, None);
+    node.update_member(1, Availability::Ready, None);
     assert_eq!(sent(&node.call(1, 1, 1)), Some(1));
     node.started(1, 0, 1, 10 * MS);
-    node.pass(200 * MS);
-    node.change(1, Availability::Ready, Some(node.now));
-    node.pass(200 * MS);
+    node.advance(200 * MS);
+    node.update_member(1, Availability::Ready, Some(node.now));
+    node.advance(200 * MS);
     assert_eq!(sent(&node.call(2, 1, 1)), Some(1));
 }
 
 #[test]
-fn no_line_free_sends_elsewhere() {
+fn avoids_server_without_free_lines() {
     let mut node = Node::new(settings(), 2);
     let report = Report { free: Some(0.0), lines: Some(10.0), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report });
@@ -339,16 +339,19 @@
 }
 
 #[test]
-fn a_mesh_takes_the_direct_route_then_a_tandem_and_never_its_own_exchange() {
+fn mesh_uses_direct_route_then_tandem_and_never_own_exchange() {
     let mut node = Node::new(Settings { home: Some(2), ..settings() }, 4);
     assert_eq!(sent(&node.call(1, 0, 0)), Some(0));
     let none = Report { free: Some(0.0), lines: Some(5.0), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report: none });
-    let tandem = sent(&node.call(2, 0, 0)).expect("a two-leg route");
+    let tandem = sent(&node.call(2, 0, 0)).expect("a route over a tandem");
     assert!(tandem == 1 || tandem == 3);
     let transit = Call { in_transit: true, ..call(3, 0, 0) };
     let actions = node.handle(Event::Call(transit));
-    assert!(answered(&actions, 3) && sent(&actions).is_none(), "in transit: the destination or back");
+    assert!(
+        answered(&actions, 3) && sent(&actions).is_none(),
+        "a transit call goes to its destination or back"
+    );
     let transit = Call { in_transit: true, ..call(4, 0, 1) };
     assert_eq!(sent(&node.handle(Event::Call(transit))), Some(1));
     for id in 10..20 {
@@ -357,31 +360,35 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_run_twice() {
+fn does_not_repeat_call_that_may_have_run() {
     let with = |effect, dedup_group| {
         let base = settings();
         let class = Class { effect, dedup_group, dedup_window: 5 * S, ..base.classes[0].clone() };
         Node::new(Settings { classes: vec![class], ..base }, 2)
     };
-    let mut fragile = with(Effect::Fragile, DedupGroup::All);
-    let server = sent(&fragile.call(1, 0, 0)).expect("a send");
-    let actions = fragile.ended(1, 0, server, Outcome::Reset, Reason::None);
+    let mut at_most_once = with(Effect::Fragile, DedupGroup::All);
+    let server = sent(&at_most_once.call(1, 0, 0)).expect("a send");
+    let actions = at_most_once.ended(1, 0, server, Outcome::Reset, Reason::None);
     assert_eq!(actions.iter().find(|a| !matches!(a, Action::Timer { .. })), Some(&Action::Fail(CallId(1))));
 
-    let mut unrun = with(Effect::Fragile, DedupGroup::All);
-    unrun.call(1, 0, 0);
-    assert_eq!(sent(&unrun.ended(1, 0, 0, Outcome::Unreachable, Reason::None)), Some(1), "it never ran");
+    let mut not_run = with(Effect::Fragile, DedupGroup::All);
+    not_run.call(1, 0, 0);
+    assert_eq!(
+        sent(&not_run.ended(1, 0, 0, Outcome::Unreachable, Reason::None)),
+        Some(1),
+        "the first attempt never ran"
+    );
 
     let mut cell = with(Effect::Dedup, DedupGroup::Cell);
     cell.call(1, 0, 0);
     cell.ended(1, 0, 0, Outcome::Reset, Reason::None);
-    let later = cell.pass(2 * S);
-    assert_ne!(sent(&later), Some(1), "only its own place discards a repeat");
+    let later = cell.advance(2 * S);
+    assert_ne!(sent(&later), Some(1), "only servers of the same place discard a repeat");
     assert!(!later.iter().any(|action| matches!(action, Action::Refuse { .. })));
 }
 
 #[test]
-fn a_failed_subscription_is_asked_again() {
+fn renews_failed_subscription() {
     let settings = Settings { membership: Membership::Subscribe, ..settings() };
     let mut node = Node { controller: Controller::new(settings, 1).expect("usable"), now: 0 };
     let first = node.handle(Event::Members(MemberNews::Complete(Vec::new())));
@@ -392,7 +399,7 @@
 }
 
 #[test]
-fn events_about_the_unknown_are_ignored() {
+fn ignores_events_about_unknown_calls_and_servers() {
     let mut node = Node::new(settings(), 1);
     assert!(node.started(99, 0, 7, S).is_empty());
     assert!(node.ended(99, 3, 7, Outcome::TimedOut, Reason::None).is_empty());
@@ -401,13 +408,13 @@
     assert!(node.handle(Event::Note { from: 0, bytes: Vec::new() }).is_empty());
     node.call(1, 0, 0);
     node.handle(Event::CallerGone(CallId(1)));
-    assert_eq!(sent(&node.ended(1, 0, 0, Outcome::Reset, Reason::None)), None, "the call is over");
+    assert_eq!(sent(&node.ended(1, 0, 0, Outcome::Reset, Reason::None)), None, "the caller has hung up");
     let unclassed = Call { class: 9, ..call(2, 0, 0) };
     assert!(answered(&node.handle(Event::Call(unclassed)), 2));
 }
 
 #[test]
-fn absurd_figures_leave_decisions_sane() {
+fn tolerates_implausible_values() {
     let mut node = Node::new(settings(), 1);
     for figure in [f64::NAN, f64::INFINITY, -5.0, 1e300] {
         let report = Report { queue: Some(figure), busy: Some(figure), ..Report::default() };
@@ -415,12 +422,12 @@
     }
     let report = Report { wait: Some(i64::MAX), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report });
-    node.now = 0; // a clock that went back
+    node.now = 0; // a clock that was set back
     node.call(1, 0, 0);
     node.started(1, 0, 0, i64::MAX);
     node.now = 400 * S;
-    node.pass(20 * MS);
-    assert!(sent(&node.call(2, 0, 0)).is_some(), "evidence fades, whatever it said");
+    node.advance(20 * MS);
+    assert!(sent(&node.call(2, 0, 0)).is_some(), "implausible samples decay");
     let wide = Call { width: f64::NAN, patience: i64::MAX, ..call(3, 0, 0) };
     node.handle(Event::Call(wide));
     let zero = Call { patience: 0, ..call(4, 0, 0) };
@@ -428,16 +435,16 @@
 }
 
 #[test]
-fn unusable_settings_are_an_error() {
+fn rejects_unusable_settings() {
     assert!(Controller::new(Settings::default(), 0).is_err(), "no classes");
-    let spoil: [fn(&mut Settings); 5] = [
+    let changes: [fn(&mut Settings); 5] = [
         |settings| settings.balancers = 0,
         |settings| settings.classes[0].aim = 0,
         |settings| settings.classes[0].worth = f64::NAN,
         |settings| settings.release = -1,
         |settings| settings.cold_from = 0.0,
     ];
-    for change in spoil {
+    for change in changes {
         let mut bad = settings();
         change(&mut bad);
         assert!(Controller::new(bad, 0).is_err());
@@ -446,34 +453,34 @@
 }
 
 #[test]
-fn trials_do_not_jam_a_slow_server() {
-    // A server that answers after three seconds: trials on the way must not pile up there.
+fn limits_trial_calls_to_a_slow_server() {
+    // The server answers only after three seconds: unanswered trial calls must not accumulate there.
     let mut node = Node::new(Settings { may_cancel: false, ..settings() }, 1);
-    node.served(1, 5, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 20 * MS);
     for id in 6..9 {
         node.call(id, 0, 0);
     }
-    node.pass(250 * MS);
+    node.advance(250 * MS);
     let mut sends = 0;
     for id in 10..2_010 {
-        let (now, later) = (node.call(id, 0, 0), node.pass(10 * MS));
+        let (now, later) = (node.call(id, 0, 0), node.advance(10 * MS));
         sends += now.iter().chain(&later).filter(|action| matches!(action, Action::Send { .. })).count();
     }
-    assert!((1..=7).contains(&sends), "{sends} trials in twenty seconds without an answer");
+    assert!((1..=7).contains(&sends), "{sends} trial calls in twenty seconds without an answer");
 }
 
 #[test]
-fn a_cold_server_is_paced_by_the_past_of_its_place() {
-    let sends = |served: u64| {
+fn paces_cold_server_by_past_rate_of_its_place() {
+    let sends = |serve_calls: u64| {
         let mut node = Node::new(Settings { balancers: 4, ..settings() }, 1);
-        node.served(1, served, 0, 10 * MS, 15 * MS);
+        node.serve_calls(1, serve_calls, 0, 10 * MS, 15 * MS);
         let renewed = member(7, Availability::Ready, Some(node.now));
         let renewed = lemoncleat::Member { place: 0, ..renewed };
         node.handle(Event::Members(MemberNews::Complete(vec![renewed])));
         let mut sends = 0;
         for id in 1_000..1_200 {
             let mut actions = node.call(id, 1, 0);
-            actions.extend(node.pass(10 * MS));
+            actions.extend(node.advance(10 * MS));
             for action in actions {
                 if let Action::Send { call, .. } = action {
                     sends += 1;
@@ -484,92 +491,95 @@
         sends
     };
     let (idle, busy) = (sends(2), sends(300));
-    assert!(busy > 3 * idle, "{busy} sends after a busy past, {idle} after an idle one");
+    assert!(busy > 3 * idle, "{busy} sends after a busy predecessor, {idle} after an idle one");
 }
 
 #[test]
-fn a_stale_report_does_not_overrule_own_answers() {
+fn recent_own_answers_override_reports() {
     let mut node = Node::new(settings(), 1);
-    node.served(1, 5, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 20 * MS);
     let report = Report { wait: Some(3 * S), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 5 * MS, report });
-    assert!(sent(&node.call(10, 0, 0)).is_some(), "answers a moment old say otherwise");
+    assert!(sent(&node.call(10, 0, 0)).is_some(), "recent answers contradict the report");
     node.started(10, 0, 0, 20 * MS);
-    node.pass(10 * S);
+    node.advance(10 * S);
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 5 * MS, report });
-    assert!(sent(&node.call(11, 0, 0)).is_none(), "with no answers of its own the node believes it");
+    assert!(sent(&node.call(11, 0, 0)).is_none(), "without recent answers the node uses the report");
 }
 
 #[test]
-fn a_failed_attempt_goes_elsewhere_even_against_the_first_choice() {
+fn retries_failed_attempt_away_from_first_choice() {
     let mut node = Node::new(settings(), 2);
     assert_eq!(sent(&node.call(1, 0, 0)), Some(0));
     assert_eq!(sent(&node.ended(1, 0, 0, Outcome::Error, Reason::None)), Some(1));
 }
 
 #[test]
-fn a_pool_without_lines_is_tried_as_often_as_lines_come_free() {
+fn retries_full_pool_as_often_as_lines_are_released() {
     let tries = |balancers| {
-        let mut node = one_of(balancers, 40.0);
-        let (mut tries, mut dear) = (0, 0);
+        let mut node = node_of_fleet(balancers, 40.0);
+        let (mut tries, mut high_worth) = (0, 0);
         for id in 10..210 {
             let class = usize::from(id % 10 == 0);
             let mut actions = node.call(id, class, 0);
-            actions.extend(node.pass(50 * MS));
+            actions.extend(node.advance(50 * MS));
             for action in actions {
                 if let Action::Send { call: CallId(call), .. } = action {
                     tries += 1;
-                    dear += usize::from(call % 10 == 0);
+                    high_worth += usize::from(call % 10 == 0);
                     node.ended(call, 0, 0, Outcome::Full, Reason::NoCircuit);
                     node.handle(Event::CallerGone(CallId(call)));
                 }
             }
         }
-        assert!(dear * 5 >= tries, "{dear} of {tries} tries by dear calls, a tenth of all: they come first");
+        assert!(
+            high_worth * 5 >= tries,
+            "{high_worth} of {tries} tries are high-worth calls, a tenth of all calls: they come first"
+        );
         tries
     };
-    // Ten seconds; forty lines of eight seconds come free five times a second.
-    assert!((30..=80).contains(&tries(1)), "{} tries by a node alone", tries(1));
+    // Within ten seconds. Of forty lines with calls of eight seconds, five are released per second.
+    assert!((30..=80).contains(&tries(1)), "{} tries by a single node", tries(1));
     assert!((5..=25).contains(&tries(70)), "{} tries by one of seventy, a second apart at most", tries(70));
 }
 
 #[test]
-fn a_reported_queue_counts_where_no_own_answer_is_fresh() {
+fn uses_reported_queue_without_recent_own_answers() {
     let mut node = Node::new(settings(), 2);
-    node.pass(10 * S);
+    node.advance(10 * S);
     for queue in [f64::NAN, 40.0, 40.0] {
         let report = Report { queue: Some(queue), ..Report::default() };
         node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 5 * MS, report });
     }
-    assert_eq!(sent(&node.call(1, 0, 0)), Some(1), "forty set-ups wait at the first choice");
+    assert_eq!(sent(&node.call(1, 0, 0)), Some(1), "forty set-ups are queued at the first choice");
 }
 
 #[test]
-fn a_small_pool_is_not_flooded_with_calls_that_waited() {
-    let lengthy = |base: Settings| {
+fn does_not_flood_a_small_pool() {
+    let with_call_length = |base: Settings| {
         let classes = base.classes.iter().map(|class| Class { length: 8 * S, ..class.clone() }).collect();
         Settings { classes, balancers: 10, ..base }
     };
-    let mut node = Node::new(lengthy(settings()), 1);
+    let mut node = Node::new(with_call_length(settings()), 1);
     let report = Report { free: Some(30.0), lines: Some(30.0), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report });
     let burst = (1..20).filter(|&id| sent(&node.call(id, 0, 0)).is_some()).count();
-    assert!(burst <= 2, "{burst} sends at once by one of ten nodes to a pool that takes four a second");
+    assert!(burst <= 2, "{burst} sends at once by one of ten nodes to a pool that takes four per second");
 }
 
 #[test]
-fn a_lone_server_and_node_without_reports_serve_on() {
+fn serves_with_one_server_and_no_reports() {
     let mut node = Node::new(Settings { repeat: 0, ..settings() }, 1);
     for id in 1..200 {
         let actions = node.call(id, 0, 0);
         assert_eq!(sent(&actions), Some(0), "call {id}");
-        node.pass(10 * MS);
+        node.advance(10 * MS);
         node.started(id, 0, 0, 10 * MS);
     }
 }
 
 #[test]
-fn nodes_with_one_view_do_not_herd() {
+fn nodes_with_equal_information_choose_different_servers() {
     let mut chosen = [0; 4];
     for seed in 0..40 {
         let mut node = Node { controller: Controller::new(settings(), seed).expect("usable"), now: 0 };
@@ -580,12 +590,12 @@
         chosen[sent(&node.call(1, 0, 0)).expect("a second choice") as usize] += 1;
     }
     assert_eq!(chosen[0], 0);
-    assert!(chosen[1..].iter().all(|&times| times >= 5), "all second choices are equal: {chosen:?}");
+    assert!(chosen[1..].iter().all(|&times| times >= 5), "second choices are not spread evenly: {chosen:?}");
 }
 
-/// Each of three hundred nodes took a server it had never met for idle, and all of them tried it at once.
+/// Three hundred nodes each assumed an unknown server to be idle, and all of them sent to it at once.
 #[test]
-fn a_server_of_which_little_is_known_is_taken_to_be_as_busy_as_the_others() {
+fn assumes_mean_wait_for_server_with_few_answers() {
     let mut chosen = [0; 3];
     for seed in 0..60 {
         let mut node = Node { controller: Controller::new(settings(), seed).expect("usable"), now: 0 };
@@ -593,136 +603,140 @@
         node.handle(Event::Members(MemberNews::Complete(members)));
         for round in 0..6 {
             for server in 0..2 {
-                // The way there takes 20 ms, the rest is wait.
+                // The round trip takes 20 ms, the rest is waiting time.
                 let lag = if round == 0 { 20 * MS } else { 140 * MS };
-                node.served(10 * round + u64::from(server) + 1, 1, server, lag, 5 * MS);
+                node.serve_calls(10 * round + u64::from(server) + 1, 1, server, lag, 5 * MS);
             }
         }
-        node.change(2, Availability::Ready, None);
-        // Its own first choice is no server at all.
+        node.update_member(2, Availability::Ready, None);
+        // The call's first choice is not a listed server.
         chosen[sent(&node.call(1_000, 0, 9)).expect("a send") as usize] += 1;
     }
-    assert!(chosen[2] < 45, "not all at the one that they know nothing of: {chosen:?}");
-    assert!(chosen[2] > 0, "it is found all the same: {chosen:?}");
+    assert!(chosen[2] < 45, "too many chose the unknown server: {chosen:?}");
+    assert!(chosen[2] > 0, "the unknown server is never chosen: {chosen:?}");
 }
 
-/// A node of a fleet of `balancers`, with one server that told its lines.
-fn one_of(balancers: u32, lines: f64) -> Node {
+/// A node of a fleet of `balancers` nodes, with one server that has reported its lines.
+fn node_of_fleet(balancers: u32, lines: f64) -> Node {
     let base = settings();
     let classes = base.classes.iter().map(|class| Class { length: 8 * S, ..class.clone() }).collect();
     let mut node = Node::new(Settings { classes, balancers, may_cancel: false, ..base }, 1);
-    told(&mut node, lines, lines);
+    report_lines(&mut node, lines, lines);
     node
 }
 
-fn told(node: &mut Node, free: f64, lines: f64) {
+fn report_lines(node: &mut Node, free: f64, lines: f64) {
     let report = Report { free: Some(free), lines: Some(lines), ..Report::default() };
     node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report });
 }
 
-/// Jams the server in the node's eyes: three answers after two seconds each.
-fn jam(node: &mut Node, first: u64) {
+/// Makes the node take the server for overloaded: three answers after two seconds each.
+fn overload(node: &mut Node, first: u64) {
     for id in first..first + 3 {
         if sent(&node.call(id, 1, 0)).is_some() {
-            node.pass(2 * S);
+            node.advance(2 * S);
             node.started(id, 0, 0, 2 * S);
         }
     }
 }
 
 #[test]
-fn a_quiet_fleet_is_not_refused_for_its_size() {
-    // One own send once counted as a send of every node: a second of queue among seventy nodes.
+fn refuses_no_calls_in_a_large_idle_fleet() {
+    // One send used to count as a send of every node, which among seventy nodes gave a wait of one second.
     for balancers in [1, 7, 70, 265] {
-        let mut node = one_of(balancers, 300.0);
+        let mut node = node_of_fleet(balancers, 300.0);
         for id in 1..=30 {
             assert_eq!(sent(&node.call(id, 0, 0)), Some(0), "call {id} at one of {balancers} nodes");
-            node.pass(30 * MS);
+            node.advance(30 * MS);
             node.started(id, 0, 0, 30 * MS);
-            node.pass(2 * S);
+            node.advance(2 * S);
         }
     }
 }
 
 #[test]
-fn a_jam_is_remembered_until_the_next_answer_is_due() {
-    // An answer every two seconds: the estimate must not have drained between two of them.
-    let mut node = one_of(70, 300.0);
-    node.served(1, 4, 0, 30 * MS, 2 * S);
+fn keeps_wait_estimate_until_the_next_answer() {
+    // With an answer every two seconds, the estimate must not decay to zero between two answers.
+    let mut node = node_of_fleet(70, 300.0);
+    node.serve_calls(1, 4, 0, 30 * MS, 2 * S);
     for (id, free) in [(10, 100.0), (11, 90.0), (12, 80.0)] {
         node.call(id, 1, 0);
-        node.pass(S);
-        told(&mut node, free, 300.0);
+        node.advance(S);
+        report_lines(&mut node, free, 300.0);
         node.started(id, 0, 0, S);
     }
-    node.pass(2 * S);
-    assert_eq!(sent(&node.call(20, 0, 0)), None, "a second of wait is not gone after two");
+    node.advance(2 * S);
+    assert_eq!(sent(&node.call(20, 0, 0)), None, "a wait of one second is still estimated after two seconds");
 }
 
 #[test]
-fn a_server_that_nobody_uses_is_found_again_by_its_free_lines() {
-    let mut node = one_of(70, 300.0);
-    jam(&mut node, 1);
-    assert_eq!(sent(&node.call(10, 0, 0)), None, "jammed");
+fn reuses_overloaded_server_once_its_lines_are_free() {
+    let mut node = node_of_fleet(70, 300.0);
+    overload(&mut node, 1);
+    assert_eq!(sent(&node.call(10, 0, 0)), None, "overloaded");
     for second in 0..6 {
-        told(&mut node, (200 + 20 * second) as f64, 300.0);
-        node.pass(S);
+        report_lines(&mut node, (200 + 20 * second) as f64, 300.0);
+        node.advance(S);
     }
-    told(&mut node, 300.0, 300.0);
-    assert_eq!(sent(&node.call(11, 0, 0)), Some(0), "its lines emptied: nothing can wait there");
+    report_lines(&mut node, 300.0, 300.0);
+    assert_eq!(sent(&node.call(11, 0, 0)), Some(0), "its lines became free, so nothing can be queued there");
 
-    let mut used = one_of(70, 300.0);
-    jam(&mut used, 1);
+    let mut used = node_of_fleet(70, 300.0);
+    overload(&mut used, 1);
     for second in 0..6 {
-        told(&mut used, (100 - second) as f64, 300.0);
-        used.pass(S);
+        report_lines(&mut used, (100 - second) as f64, 300.0);
+        used.advance(S);
     }
-    assert_eq!(sent(&used.call(11, 0, 0)), None, "lines in use show no relief");
+    assert_eq!(sent(&used.call(11, 0, 0)), None, "the lines stay in use");
 }
 
 #[test]
-fn one_lost_set_up_is_no_proof_and_two_are() {
-    // Incident i58a0dc: a fifth of the set-ups to idle servers was lost, and each cost its node ten seconds.
-    let mut node = one_of(265, 300.0);
+fn backs_off_after_two_lost_set_ups_but_not_after_one() {
+    // Incident i58a0dc: a fifth of set-ups to idle servers was lost, and each loss cost its node ten seconds.
+    let mut node = node_of_fleet(265, 300.0);
     let lose = |node: &mut Node, id: u64| {
         assert_eq!(sent(&node.call(id, 1, 0)), Some(0), "call {id}");
-        node.pass(3 * S);
+        node.advance(3 * S);
         node.ended(id, 0, 0, Outcome::TimedOut, Reason::None);
         node.handle(Event::CallerGone(CallId(id)));
     };
     lose(&mut node, 1);
     lose(&mut node, 2);
-    assert_eq!(sent(&node.call(3, 1, 0)), None, "after the second, only at the pace of all nodes' trials");
+    assert_eq!(
+        sent(&node.call(3, 1, 0)),
+        None,
+        "after the second loss, only trial calls paced for all nodes"
+    );
     node.handle(Event::CallerGone(CallId(3)));
-    // Told lines may be wrong: a pool said to have four would be tried once in an hour.
-    told(&mut node, 2.0, 4.0);
-    node.pass(20 * S);
-    assert_eq!(sent(&node.call(4, 1, 0)), Some(0), "never for good");
+    // Reported lines may be wrong: a pool reported with four lines would be tried once per hour.
+    report_lines(&mut node, 2.0, 4.0);
+    node.advance(20 * S);
+    assert_eq!(sent(&node.call(4, 1, 0)), Some(0), "it is not excluded for ever");
 }
 
 #[test]
-fn the_trials_of_all_nodes_leave_a_silent_server_room() {
+fn limits_trial_calls_of_all_nodes_to_a_silent_server() {
     for balancers in [1, 7, 70, 265] {
-        let mut node = one_of(balancers, 300.0);
-        told(&mut node, 50.0, 300.0);
-        node.pass(S);
-        told(&mut node, 50.0, 300.0);
+        let mut node = node_of_fleet(balancers, 300.0);
+        report_lines(&mut node, 50.0, 300.0);
+        node.advance(S);
+        report_lines(&mut node, 50.0, 300.0);
         node.call(1, 0, 0);
-        node.pass(3 * S);
+        node.advance(3 * S);
         node.ended(1, 0, 0, Outcome::TimedOut, Reason::None);
         let mut sends = 0;
         for id in 10..6_010 {
-            let (now, later) = (node.call(id, 0, 0), node.pass(30 * MS));
+            let (now, later) = (node.call(id, 0, 0), node.advance(30 * MS));
             sends += now.iter().chain(&later).filter(|action| matches!(action, Action::Send { .. })).count();
         }
-        // Three minutes; the lines allow 37 calls a second, which the fleet's trials must not take up.
+        // Within three minutes. The lines allow 37 calls per second; the fleet's trial calls must leave room.
         let fleet = sends as f64 * f64::from(balancers) / 180.0;
-        assert!(fleet <= 0.25 * 300.0 / 8.0, "{fleet} trials a second by {balancers} nodes");
-        assert!(sends > 0, "it is tried at all by one of {balancers} nodes");
+        assert!(fleet <= 0.25 * 300.0 / 8.0, "{fleet} trial calls per second by {balancers} nodes");
+        assert!(sends > 0, "one of {balancers} nodes sends no trial call");
     }
 }
 
-/// Lets the node stand still, then gives it `events` at one moment and the timer it had set.
+/// Stalls the node for `span`, then delivers `events` and its timer at the same time.
 fn stall(node: &mut Node, span: i64, events: Vec<Event>) -> Vec<Action> {
     node.now += span;
     let mut actions: Vec<Action> = events.into_iter().flat_map(|event| node.handle(event)).collect();
@@ -735,89 +749,95 @@
 }
 
 #[test]
-fn a_stall_of_the_node_blames_no_server() {
+fn own_stall_does_not_count_against_a_server() {
     let mut node = Node::new(settings(), 1);
-    node.served(1, 5, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 20 * MS);
     assert_eq!(sent(&node.call(10, 0, 0)), Some(0));
     let actions = stall(&mut node, 2 * S, vec![answer(10, 0, 2 * S)]);
-    assert!(!actions.iter().any(|action| matches!(action, Action::Log(_))), "nothing to tell of the server");
-    node.pass(10 * MS);
-    assert_eq!(sent(&node.call(11, 0, 0)), Some(0), "the lag was the node's own");
+    assert!(
+        !actions.iter().any(|action| matches!(action, Action::Log(_))),
+        "nothing is logged about the server"
+    );
+    node.advance(10 * MS);
+    assert_eq!(sent(&node.call(11, 0, 0)), Some(0), "the node caused the lag");
 }
 
 #[test]
-fn a_stall_withdraws_nothing_wholesale() {
+fn own_stall_cancels_no_attempts() {
     let mut node = Node::new(settings(), 2);
-    node.served(1, 5, 0, 20 * MS, 20 * MS);
-    node.served(11, 5, 1, 20 * MS, 20 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 20 * MS);
+    node.serve_calls(11, 5, 1, 20 * MS, 20 * MS);
     let out: Vec<_> = (20..26).filter_map(|id| sent(&node.call(id, 1, 0)).map(|to| (id, to))).collect();
-    assert!(out.len() > 1, "some set-ups are out");
+    assert!(out.len() > 1, "some set-ups are unanswered");
     node.now += 1_500 * MS;
     let tick = node.handle(Event::Timer(1));
     assert!(
         !tick.iter().any(|action| matches!(action, Action::Cancel { .. })),
-        "answers may lie behind the tick"
+        "answers may follow the timer event"
     );
     for (id, to) in out {
         node.handle(answer(id, to, 1_500 * MS));
     }
-    let later = node.pass(50 * MS);
+    let later = node.advance(50 * MS);
     assert!(!later.iter().any(|action| matches!(action, Action::Cancel { .. })));
 }
 
 #[test]
-fn calls_found_after_a_stall_wait_for_the_news_and_go_out_spread() {
+fn calls_after_a_stall_wait_for_list_updates_and_are_spread() {
     let mut node = Node::new(Settings { balancers: 70, ..settings() }, 2);
-    node.served(1, 5, 0, 20 * MS, 200 * MS);
+    node.serve_calls(1, 5, 0, 20 * MS, 200 * MS);
     let to = sent(&node.call(10, 0, 0)).expect("a send");
     node.now += 2 * S;
     let mut early = Vec::new();
     for id in 20..40 {
         early.extend(node.call(id, 0, 0));
     }
-    assert_eq!(sent(&early), None, "the list may have changed meanwhile");
+    assert_eq!(sent(&early), None, "list updates may still follow");
     let news = vec![member(0, Availability::Draining, None)];
     node.handle(Event::Members(MemberNews::Changes(news)));
     node.handle(answer(10, to, 2 * S));
     node.handle(Event::Timer(1));
     let sends: Vec<_> = node
-        .pass(20 * MS)
+        .advance(20 * MS)
         .into_iter()
         .filter_map(|action| match action {
             Action::Send { server, .. } => Some(server.0),
             _ => None,
         })
         .collect();
-    assert!(sends.iter().all(|&server| server == 1), "the drain is heard first: {sends:?}");
-    assert!((1..=5).contains(&sends.len()), "no burst of what was held: {sends:?}");
+    assert!(sends.iter().all(|&server| server == 1), "the drain is processed first: {sends:?}");
+    assert!((1..=5).contains(&sends.len()), "queued calls are sent in a burst: {sends:?}");
 }
 
 #[test]
-fn a_node_that_stalls_answers_early_enough_for_the_next_stall() {
+fn answers_earlier_after_a_stall() {
     let mut node = Node::new(settings(), 1);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
     node.call(10, 0, 0);
     stall(&mut node, 1_200 * MS, vec![answer(10, 0, 1_200 * MS)]);
-    node.pass(20 * MS);
+    node.advance(20 * MS);
     let actions = node.call(11, 0, 0);
     let timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
     let timeout = timeout.expect("a send");
-    assert!(timeout > 0 && timeout <= 1_820 * MS, "{timeout}: the caller waits three seconds");
+    assert!(
+        timeout > 0 && timeout <= 1_820 * MS,
+        "{timeout} us is too late for a caller who waits three seconds"
+    );
     assert!(timeout >= 1_500 * MS, "not before the aim is over");
 
-    // A call that waits at the node is answered a stall before its caller leaves.
+    // A queued call is answered before its caller's patience ends, by the length of a stall.
     let full = Reason::ProcessorFull { wait: 20 * S };
     node.ended(11, 0, 0, Outcome::Full, full);
     let short = Call { patience: 1_600 * MS, ..call(12, 0, 0) };
     node.handle(Event::Call(short));
-    assert!(answered(&node.pass(450 * MS), 12));
+    assert!(answered(&node.advance(450 * MS), 12));
 }
 
-/// A node with six servers, two to each zone; the first four of one kind.
-fn grouped() -> Node {
+/// A node with six servers, two in each zone. The first four are of one kind.
+fn node_with_groups() -> Node {
     let mut node = Node::new(Settings { may_cancel: false, ..settings() }, 0);
     let members = (0..6)
         .map(|number| lemoncleat::Member {
@@ -830,11 +850,11 @@
     node
 }
 
-fn silence(node: &mut Node, first: u64, places: &[i64]) {
+fn let_servers_time_out(node: &mut Node, first: u64, places: &[i64]) {
     for (id, &place) in (first..).zip(places) {
         assert_eq!(sent(&node.call(id, 0, place)), Some(place as u32));
     }
-    node.pass(3 * S);
+    node.advance(3 * S);
     for (id, &place) in (first..).zip(places) {
         node.handle(Event::Ended {
             call: CallId(id),
@@ -847,66 +867,70 @@
             report: Report::default(),
         });
     }
-    node.pass(20 * MS);
+    node.advance(20 * MS);
 }
 
 #[test]
-fn silence_spreading_in_a_group_speaks_against_its_rest_for_a_while() {
-    let mut node = grouped();
-    silence(&mut node, 1, &[0, 1, 2]); // all of zone 0, half of zone 1, three of the four of kind 0
+fn avoids_other_servers_of_a_silent_group_for_a_while() {
+    let mut node = node_with_groups();
+    let_servers_time_out(&mut node, 1, &[0, 1, 2]); // all of zone 0, half of zone 1, three of four of kind 0
     let elsewhere = sent(&node.call(20, 0, 3)).expect("a send");
-    assert!(elsewhere >= 4, "the fourth of the kind is doubted, the other kind is not: {elsewhere}");
-    node.pass(12 * S);
-    assert_eq!(sent(&node.call(21, 0, 3)), Some(3), "never for good");
+    assert!(
+        elsewhere >= 4,
+        "the fourth server of the kind is rated lower, the other kind is not: {elsewhere}"
+    );
+    node.advance(12 * S);
+    assert_eq!(sent(&node.call(21, 0, 3)), Some(3), "it is not excluded for ever");
 }
 
 #[test]
-fn a_silent_server_alone_or_all_servers_together_are_no_group() {
-    let mut one = grouped();
-    silence(&mut one, 1, &[0]);
-    assert_eq!(sent(&one.call(20, 0, 1)), Some(1), "one is no pattern");
+fn ignores_a_single_silent_server_and_a_group_of_all() {
+    let mut one = node_with_groups();
+    let_servers_time_out(&mut one, 1, &[0]);
+    assert_eq!(sent(&one.call(20, 0, 1)), Some(1), "one silent server is no evidence");
 
     let mut same = Node::new(Settings { may_cancel: false, ..settings() }, 4);
-    silence(&mut same, 1, &[0, 1]);
-    assert_eq!(sent(&same.call(20, 0, 2)), Some(2), "all servers share zone and kind: it says nothing");
+    let_servers_time_out(&mut same, 1, &[0, 1]);
+    assert_eq!(sent(&same.call(20, 0, 2)), Some(2), "all servers share zone and kind, which is no evidence");
 }
 
 #[test]
-fn a_server_whose_zone_or_kind_changes_is_taken_up() {
-    let mut node = grouped();
-    silence(&mut node, 1, &[0, 1, 2]);
+fn applies_changed_zone_and_kind_to_groups() {
+    let mut node = node_with_groups();
+    let_servers_time_out(&mut node, 1, &[0, 1, 2]);
     let moved = lemoncleat::Member { zone: 99, kind: 77, ..member(3, Availability::Ready, None) };
     node.handle(Event::Members(MemberNews::Changes(vec![moved])));
-    node.pass(20 * MS);
-    assert_eq!(sent(&node.call(20, 0, 3)), Some(3), "it shares nothing with the silent ones any more");
+    node.advance(20 * MS);
+    assert_eq!(sent(&node.call(20, 0, 3)), Some(3), "it no longer shares a group with the silent servers");
 }
 
 #[test]
-fn an_outcome_for_a_withdrawn_attempt_is_taken_in_any_order() {
+fn accepts_answer_to_a_cancelled_attempt() {
     let mut node = Node::new(settings(), 2);
-    node.served(1, 3, 0, 20 * MS, 20 * MS);
-    node.served(11, 3, 1, 20 * MS, 20 * MS);
+    node.serve_calls(1, 3, 0, 20 * MS, 20 * MS);
+    node.serve_calls(11, 3, 1, 20 * MS, 20 * MS);
     assert_eq!(sent(&node.call(20, 1, 0)), Some(0));
     let cancel = Action::Cancel { call: CallId(20), attempt: 0 };
-    assert!(node.pass(600 * MS).contains(&cancel));
-    // The answer was on its way already.
+    assert!(node.advance(600 * MS).contains(&cancel));
+    // The answer crossed the cancel.
     let actions = node.started(20, 0, 0, 600 * MS);
     assert!(sent(&actions).is_none() && !answered(&actions, 20));
-    assert!(node.ended(20, 0, 0, Outcome::Cancelled, Reason::None).is_empty(), "it is over");
-    assert!(!answered(&node.pass(S), 20));
+    assert!(node.ended(20, 0, 0, Outcome::Cancelled, Reason::None).is_empty(), "the call has ended");
+    assert!(!answered(&node.advance(S), 20));
 }
 
-/// Where times are short, the way to another zone is a good part of a pressed wait: it must not count as a queue.
+/// With short times, the round trip to another zone is a large part of a pressed wait. It must not count as
+/// waiting time.
 #[test]
-fn the_way_to_a_far_server_is_no_wait() {
+fn does_not_count_round_trip_to_another_zone_as_wait() {
     let mut node = Node::new(Settings { repeat: 100 * MS, ..settings() }, 1);
-    node.served(1, 5, 0, 5 * MS, 20 * MS);
+    node.serve_calls(1, 5, 0, 5 * MS, 20 * MS);
     let far = Member { zone: 1, ..member(1, Availability::Ready, None) };
     node.handle(Event::Members(MemberNews::Complete(vec![far])));
     for id in 10..40 {
         assert_eq!(sent(&node.call(id, 0, 1)), Some(1), "call {id}");
-        node.pass(45 * MS);
+        node.advance(45 * MS);
         node.started(id, 0, 1, 45 * MS);
-        node.pass(20 * MS);
+        node.advance(20 * MS);
     }
 }
--- a/crates/lemoncleat/tests/ramp.rs
+++ b/crates/lemoncleat/tests/ramp.rs
@@ -1,45 +1,51 @@
-//! The ramp of cold servers under the sum of all nodes (rule 4): drawn days on which a cold server was once
-//! sent more than chance explains.
+//! Rule 4 for the sum of all nodes: a cold server is not sent more than its limit allows. The scenarios are
+//! random ones, including some in which it once was sent more than random variation explains.
 
 mod world;
 
-use world::{Day, Trouble};
+use world::{ColdStart, Scenario};
 
 #[test]
-fn turns_kept_through_a_jam_are_not_used_at_one_moment() {
-    // Nodes that had been held back by a jam used what turns they had kept at one moment, up to 14 set-ups
-    // where 3.2 are meant.
-    let days = [
-        Day::draw(9, Trouble::Bare, true, 6),
-        Day::draw(30, Trouble::Third, false, 4),
-        Day::draw(30, Trouble::Bare, true, 8),
-        Day::draw(30, Trouble::Bare, true, 9),
-        Day::draw(30, Trouble::Bare, true, 10),
-        Day::draw(30, Trouble::Bare, true, 13),
+fn turns_kept_during_overload_are_not_used_together() {
+    // While a server is overloaded, nodes do not use their turns. When it looked good again, all nodes once
+    // used the kept turns at the same time: up to 14 set-ups where the limit is 3.2.
+    let scenarios = [
+        Scenario::random(9, ColdStart::Bare, true, 6),
+        Scenario::random(30, ColdStart::Third, false, 4),
+        Scenario::random(30, ColdStart::Bare, true, 8),
+        Scenario::random(30, ColdStart::Bare, true, 9),
+        Scenario::random(30, ColdStart::Bare, true, 10),
+        Scenario::random(30, ColdStart::Bare, true, 13),
     ];
-    days.iter().for_each(keeps);
+    scenarios.iter().for_each(check_scenario);
 }
 
 #[test]
-fn all_nodes_together_keep_within_the_means_of_cold_servers() {
-    let troubles =
-        [Trouble::One, Trouble::Several, Trouble::Third, Trouble::Seven, Trouble::Fresh, Trouble::Bare];
+fn all_nodes_together_stay_within_the_limit_of_cold_servers() {
+    let cold_starts = [
+        ColdStart::One,
+        ColdStart::Several,
+        ColdStart::Third,
+        ColdStart::Seven,
+        ColdStart::Fresh,
+        ColdStart::Bare,
+    ];
     for (nodes, seed) in [(2, 1), (20, 3)] {
-        for trouble in troubles {
+        for cold_start in cold_starts {
             for lines in [true, false] {
-                let day = Day::draw(nodes, trouble, lines, seed);
-                keeps(&Day { rate: 5.0, before: 10_000_000, ..day });
+                let scenario = Scenario::random(nodes, cold_start, lines, seed);
+                check_scenario(&Scenario { rate: 5.0, warm_up: 10_000_000, ..scenario });
             }
         }
     }
 }
 
-fn keeps(day: &Day) {
-    let verdict = day.play();
-    let world::Verdict { worst, sent, plain, budget, age, served } = verdict;
+fn check_scenario(scenario: &Scenario) {
+    let result = scenario.run();
+    let world::RampResult { worst_ratio, sent, set_ups, budget, age, served } = result;
     assert!(
-        worst <= 1.0,
-        "{sent:.1} ({plain} set-ups) of {budget:.1} at {age} us, {worst:.2} of what chance may make: {day:?}"
+        worst_ratio <= 1.0,
+        "{sent:.1} ({set_ups} set-ups) of {budget:.1} at {age} us, ratio {worst_ratio:.2}: {scenario:?}"
     );
-    assert!(served > 0.05, "it is warmed up at all: {served:.3} served of {day:?}");
+    assert!(served > 0.05, "the cold servers serve too little: {served:.3} of {scenario:?}");
 }
--- a/crates/lemoncleat/tests/rules.rs
+++ b/crates/lemoncleat/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules under arbitrary legal orders of events.
+//! Property tests: the five rules hold for arbitrary valid sequences of events.
 
 mod common;
 
@@ -14,14 +14,15 @@
 
 const SERVERS: u32 = 3;
 
-/// What may happen next; numbers choose among what is possible at that moment.
+/// A step of a random sequence. An index selects, modulo their number, one of the attempts or calls that
+/// exist when the step is taken.
 #[derive(Clone, Debug)]
 enum Step {
     Pass(Micros),
     Call { class: usize, destination: i64, patience: Micros, bits: u8 },
     Start(usize),
     End(usize, Outcome, Reason),
-    Leave(usize),
+    HangUp(usize),
     Change(u32, Availability, bool),
     Complete(u8),
     Free(u32, f64),
@@ -44,11 +45,13 @@
     prop_oneof![
         4 => (0..900 * MS).prop_map(Step::Pass),
         6 => (0usize..2, 0i64..4, 1..4 * S, 0u8..8)
-            .prop_map(|(class, destination, patience, bits)| Step::Call { class, destination, patience, bits }),
+            .prop_map(|(class, destination, patience, bits)|
+                Step::Call { class, destination, patience, bits }),
         4 => any::<usize>().prop_map(Step::Start),
-        4 => (any::<usize>(), outcome).prop_map(|(at, (how, why))| Step::End(at, how, why)),
-        1 => any::<usize>().prop_map(Step::Leave),
-        2 => (0..SERVERS, state, any::<bool>()).prop_map(|(server, state, fresh)| Step::Change(server, state, fresh)),
+        4 => (any::<usize>(), outcome).prop_map(|(at, (outcome, reason))| Step::End(at, outcome, reason)),
+        1 => any::<usize>().prop_map(Step::HangUp),
+        2 => (0..SERVERS, state, any::<bool>())
+            .prop_map(|(server, state, fresh)| Step::Change(server, state, fresh)),
         1 => any::<u8>().prop_map(Step::Complete),
         1 => (0..SERVERS, -1.0..9.0f64).prop_map(|(server, free)| Step::Free(server, free)),
         1 => proptest::collection::vec(any::<u8>(), 0..20).prop_map(Step::Note),
@@ -60,26 +63,26 @@
     number: u32,
     server: u32,
     sent: Micros,
-    ends: Micros,
+    patience_ends: Micros,
     cancelled: bool,
 }
 
 #[derive(Default)]
-struct Owed {
-    ends: Micros,
+struct PendingCall {
+    patience_ends: Micros,
     attempts: u32,
-    /// No send before this.
-    released: Micros,
+    /// The earliest time of the next attempt.
+    not_before: Micros,
 }
 
-/// A host that keeps the books of the rules.
+/// A host that checks the rules at every event and action.
 struct Host {
     controller: Controller,
     settings: Settings,
     now: Micros,
     timers: Vec<(Micros, u64)>,
-    owed: BTreeMap<u64, Owed>,
-    out: Vec<Attempt>,
+    pending: BTreeMap<u64, PendingCall>,
+    active: Vec<Attempt>,
     standing: Vec<Attempt>,
     states: BTreeMap<u32, Availability>,
     cold_since: BTreeMap<u32, Micros>,
@@ -96,8 +99,8 @@
             settings,
             now: 50 * S,
             timers: Vec::new(),
-            owed: BTreeMap::new(),
-            out: Vec::new(),
+            pending: BTreeMap::new(),
+            active: Vec::new(),
             standing: Vec::new(),
             states,
             cold_since: BTreeMap::new(),
@@ -105,39 +108,43 @@
             next: 0,
         };
         let members = (0..SERVERS).map(|server| member(server, Availability::Ready, None)).collect();
-        host.tell(Event::Members(MemberNews::Complete(members)));
+        host.deliver(Event::Members(MemberNews::Complete(members)));
         host
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.controller.handle(self.now, event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.apply(action);
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
             Action::Send { call: CallId(call), server: ServerId(server), .. } => {
-                assert!(self.out.iter().all(|out| out.call != call), "rule 2: two attempts out");
-                let owed = self.owed.get_mut(&call).expect("rule 1: a send for a call that is over");
+                assert!(self.active.iter().all(|active| active.call != call), "rule 2: two attempts out");
+                let pending = self.pending.get_mut(&call).expect("rule 1: a send for an answered call");
                 assert_eq!(self.states[&server], Availability::Ready, "rule 3: sent to {server}");
-                assert!(self.now >= owed.released, "rule 5: sent before the release");
-                assert!(owed.attempts < self.settings.max_attempts);
-                let (number, sent, ends) = (owed.attempts, self.now, owed.ends);
-                owed.attempts += 1;
-                self.out.push(Attempt { call, number, server, sent, ends, cancelled: false });
-                self.cold_send(server);
+                assert!(self.now >= pending.not_before, "rule 5: sent before the release");
+                assert!(pending.attempts < self.settings.max_attempts);
+                let (number, sent, patience_ends) = (pending.attempts, self.now, pending.patience_ends);
+                pending.attempts += 1;
+                self.active.push(Attempt { call, number, server, sent, patience_ends, cancelled: false });
+                self.check_cold_send(server);
             }
             Action::Refuse { call, .. } | Action::Fail(call) => {
-                assert!(self.owed.remove(&call.0).is_some(), "rule 1: a second answer");
-                assert!(self.out.iter().all(|out| out.call != call.0), "answered with an attempt out");
+                assert!(self.pending.remove(&call.0).is_some(), "rule 1: a second answer");
+                assert!(
+                    self.active.iter().all(|active| active.call != call.0),
+                    "answered with an attempt out"
+                );
             }
             Action::Cancel { call, attempt } => {
-                let found = self.out.iter_mut().find(|out| (out.call, out.number) == (call.0, attempt));
-                if let Some(out) = found {
-                    out.cancelled = true;
+                let found =
+                    self.active.iter_mut().find(|active| (active.call, active.number) == (call.0, attempt));
+                if let Some(active) = found {
+                    active.cancelled = true;
                 }
             }
             Action::Timer { token, delay } => self.timers.push((self.now + delay.max(1), token)),
@@ -147,9 +154,10 @@
         }
     }
 
-    /// Rule 4: this node's part of what a cold server may be sent in any window, judged by a server
-    /// that does 10 a second when warm, which is the least that the controller assumes.
-    fn cold_send(&mut self, server: u32) {
+    /// Checks rule 4 for one node: in any window, its sends to a cold server stay within its share of the
+    /// limit. The limit is that of a server that handles 10 set-ups per second when warm, the lowest rate
+    /// that the controller assumes.
+    fn check_cold_send(&mut self, server: u32) {
         let Some(&since) = self.cold_since.get(&server) else { return };
         if self.now - since >= self.settings.cold_span {
             return;
@@ -163,25 +171,25 @@
         assert!(window <= part.max(1.0) + 1.0, "rule 4: {window} sends of {part} in a window");
     }
 
-    /// Time goes by: timers come due, attempts end at the caller's deadline or once cancelled.
-    fn pass(&mut self, span: Micros) {
+    /// Advances the clock. Timers expire, and attempts end at the caller's deadline or after a cancel.
+    fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let timer = self.timers.iter().map(|&(due, _)| due).min().unwrap_or(Micros::MAX);
-            let over = self.out.iter().map(|out| out.ends).min().unwrap_or(Micros::MAX);
-            let cancelled = self.out.iter().any(|out| out.cancelled);
+            let over = self.active.iter().map(|active| active.patience_ends).min().unwrap_or(Micros::MAX);
+            let cancelled = self.active.iter().any(|active| active.cancelled);
             let next = if cancelled { self.now + MS } else { timer.min(over) };
             if next > end {
                 break;
             }
             self.now = self.now.max(next);
-            if let Some(at) = self.out.iter().position(|out| out.cancelled) {
+            if let Some(at) = self.active.iter().position(|active| active.cancelled) {
                 self.end(at, Outcome::Cancelled, Reason::None);
-            } else if let Some(at) = self.out.iter().position(|out| out.ends <= self.now) {
+            } else if let Some(at) = self.active.iter().position(|active| active.patience_ends <= self.now) {
                 self.end(at, Outcome::TimedOut, Reason::None);
             } else if let Some(at) = self.timers.iter().position(|&(due, _)| due <= self.now) {
                 let (_, token) = self.timers.remove(at);
-                self.tell(Event::Timer(token));
+                self.deliver(Event::Timer(token));
             }
             self.check_deadlines();
         }
@@ -191,60 +199,65 @@
 
     fn check_deadlines(&self) {
         let slack = 20 * MS;
-        assert!(self.owed.values().all(|owed| self.now <= owed.ends + slack), "rule 1: no answer in time");
+        assert!(
+            self.pending.values().all(|pending| self.now <= pending.patience_ends + slack),
+            "rule 1: no answer in time"
+        );
     }
 
     fn end(&mut self, at: usize, outcome: Outcome, reason: Reason) {
-        let gone = self.out.remove(at);
-        if let Some(owed) = self.owed.get_mut(&gone.call) {
+        let ended = self.active.remove(at);
+        if let Some(pending) = self.pending.get_mut(&ended.call) {
             if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) {
-                owed.released = self.now + self.settings.release;
+                pending.not_before = self.now + self.settings.release;
             }
         }
-        let closed = !self.owed.contains_key(&gone.call);
-        self.outcome(gone, outcome, reason, closed);
+        let closed = !self.pending.contains_key(&ended.call);
+        self.outcome(ended, outcome, reason, closed);
     }
 
-    fn outcome(&mut self, gone: Attempt, outcome: Outcome, reason: Reason, closed: bool) {
-        let (call, server) = (CallId(gone.call), ServerId(gone.server));
-        let (attempt, lag, report) = (gone.number, self.now - gone.sent, Report::default());
-        self.tell(Event::Ended { call, attempt, server, outcome, lag, closed, reason, report });
+    fn outcome(&mut self, ended: Attempt, outcome: Outcome, reason: Reason, closed: bool) {
+        let (call, server) = (CallId(ended.call), ServerId(ended.server));
+        let (attempt, lag, report) = (ended.number, self.now - ended.sent, Report::default());
+        self.deliver(Event::Ended { call, attempt, server, outcome, lag, closed, reason, report });
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Pass(span) => self.pass(span),
+            Step::Pass(span) => self.advance(span),
             Step::Call { class, destination, patience, bits } => {
                 self.next += 1;
                 let id = self.next;
-                self.owed.insert(id, Owed { ends: self.now + patience, ..Owed::default() });
+                self.pending
+                    .insert(id, PendingCall { patience_ends: self.now + patience, ..PendingCall::default() });
                 let (redialled, cut, in_transit) = (bits & 1 > 0, bits & 2 > 0, bits & 4 > 0);
                 let in_transit = in_transit && self.settings.home.is_some();
                 let base = call(id, class, destination);
-                self.tell(Event::Call(Call { patience, redialled, cut, in_transit, ..base }));
+                self.deliver(Event::Call(Call { patience, redialled, cut, in_transit, ..base }));
             }
-            Step::Start(at) if !self.out.is_empty() => {
-                let out = self.out.remove(at % self.out.len());
-                let lag = self.now - out.sent;
-                self.owed.remove(&out.call);
-                let (call, server) = (CallId(out.call), ServerId(out.server));
-                self.tell(Event::Started { call, attempt: out.number, server, lag });
-                self.standing.push(out);
+            Step::Start(at) if !self.active.is_empty() => {
+                let active = self.active.remove(at % self.active.len());
+                let lag = self.now - active.sent;
+                self.pending.remove(&active.call);
+                let (call, server) = (CallId(active.call), ServerId(active.server));
+                self.deliver(Event::Started { call, attempt: active.number, server, lag });
+                self.standing.push(active);
             }
             Step::End(at, outcome, reason) => {
                 if at % 2 == 0 && !self.standing.is_empty() {
-                    let gone = self.standing.remove(at % self.standing.len());
-                    self.outcome(gone, Outcome::Ok, Reason::None, true);
-                } else if !self.out.is_empty() {
-                    self.end(at % self.out.len(), outcome, reason);
+                    let ended = self.standing.remove(at % self.standing.len());
+                    self.outcome(ended, Outcome::Ok, Reason::None, true);
+                } else if !self.active.is_empty() {
+                    self.end(at % self.active.len(), outcome, reason);
                 }
             }
-            Step::Leave(at) if !self.owed.is_empty() => {
-                let id = self.owed.keys().nth(at % self.owed.len()).copied().expect("an owed call");
-                self.owed.remove(&id);
-                self.tell(Event::CallerGone(CallId(id)));
+            Step::HangUp(at) if !self.pending.is_empty() => {
+                let id =
+                    self.pending.keys().nth(at % self.pending.len()).copied().expect("an unanswered call");
+                self.pending.remove(&id);
+                self.deliver(Event::CallerGone(CallId(id)));
             }
-            Step::Start(_) | Step::Leave(_) => {}
+            Step::Start(_) | Step::HangUp(_) => {}
             Step::Change(server, state, fresh) => {
                 self.states.insert(server, state);
                 let started = (fresh && state == Availability::Ready).then_some(self.now);
@@ -253,7 +266,7 @@
                     self.cold_sends.remove(&server);
                 }
                 let started = self.cold_since.get(&server).copied();
-                self.tell(Event::Members(MemberNews::Changes(vec![member(server, state, started)])));
+                self.deliver(Event::Members(MemberNews::Changes(vec![member(server, state, started)])));
             }
             Step::Complete(mask) => {
                 let mut members = Vec::new();
@@ -265,31 +278,36 @@
                         members.push(member(server, state, self.cold_since.get(&server).copied()));
                     }
                 }
-                self.tell(Event::Members(MemberNews::Complete(members)));
+                self.deliver(Event::Members(MemberNews::Complete(members)));
             }
             Step::Free(server, free) => {
                 let report = Report { free: (free >= 0.0).then_some(free), ..Report::default() };
-                self.tell(Event::Probed { server: ServerId(server), outcome: Outcome::Ok, lag: 0, report });
+                self.deliver(Event::Probed {
+                    server: ServerId(server),
+                    outcome: Outcome::Ok,
+                    lag: 0,
+                    report,
+                });
             }
-            Step::Note(bytes) => self.tell(Event::Note { from: 1, bytes }),
+            Step::Note(bytes) => self.deliver(Event::Note { from: 1, bytes }),
         }
         self.check_deadlines();
     }
 }
 
-/// Plays random days, always the same ones, and at their end waits for every answer.
-fn play(settings: &Settings) {
+/// Runs random sequences of steps from a fixed seed, and checks that every call has been answered at the end.
+fn check_rules(settings: &Settings) {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let days = (any::<u64>(), proptest::collection::vec(step(), 1..150));
-    let outcome = runner.run(&days, |(seed, steps)| {
+    let sequences = (any::<u64>(), proptest::collection::vec(step(), 1..150));
+    let outcome = runner.run(&sequences, |(seed, steps)| {
         let mut host = Host::new(settings.clone(), seed);
         for step in steps {
             host.step(step);
         }
-        host.pass(10 * S);
-        prop_assert!(host.owed.is_empty(), "rule 1: calls without an answer");
+        host.advance(10 * S);
+        prop_assert!(host.pending.is_empty(), "rule 1: calls without an answer");
         Ok(())
     });
     if let Err(error) = outcome {
@@ -298,19 +316,20 @@
 }
 
 #[test]
-fn the_rules_hold_before_pools() {
-    play(&Settings { balancers: 4, may_tell: true, may_probe: true, ..settings() });
+fn keeps_rules_with_pools() {
+    check_rules(&Settings { balancers: 4, may_tell: true, may_probe: true, ..settings() });
 }
 
 #[test]
-fn the_rules_hold_for_one_node_of_any_number() {
+fn keeps_rules_for_any_number_of_nodes() {
     for balancers in [1, 7, 265] {
-        play(&Settings { balancers, ..settings() });
+        check_rules(&Settings { balancers, ..settings() });
     }
 }
 
-/// Rule 4 by share of traffic: a warm past with the answers or lines of `balancers` nodes, of which this one
-/// has its even share; then a new process at the same place, and as many calls as the node can get.
+/// Returns the rate at which one node sends set-ups to a cold server, and the limit of rule 4 for all nodes.
+/// The node first gets its even share of a warm server's traffic, and reports of all nodes' lines if `told`.
+/// Then the server restarts, and the node gets more calls than it may send.
 fn cold_sends(balancers: u32, own_number: u32, rate: f64, told: bool, seed: u64) -> (f64, f64) {
     let base = settings();
     let classes = base.classes.iter().map(|class| Class { length: 8 * S, ..class.clone() }).collect();
@@ -322,7 +341,7 @@
     let own = rate / f64::from(balancers);
     let mut chance = seed;
     while now < 110 * S {
-        // Calls of the node come at random, a few at a time or long apart.
+        // The node's calls arrive at random, with exponential intervals.
         chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let draw = ((chance >> 11) as f64 / (1u64 << 53) as f64).max(1e-9);
         now += (-draw.ln() / own * 1e6) as Micros;
@@ -363,10 +382,10 @@
 }
 
 #[test]
-fn all_nodes_together_never_push_a_cold_server_over() {
+fn all_nodes_together_stay_within_the_limit_of_a_cold_server() {
     for (balancers, rate) in [(1, 40.0), (7, 40.0), (70, 40.0), (265, 40.0), (265, 90.0)] {
         for told in [true, false] {
-            // The fleet is the sum of its nodes: as many seeds and numbers stand in for them.
+            // The fleet's rate is the sum of its nodes' rates. At most 60 nodes are simulated and scaled up.
             let nodes = balancers.min(60);
             let one = |node| {
                 let own_number = node * balancers / nodes;
@@ -377,26 +396,26 @@
             let limit = one(0).1;
             assert!(
                 fleet <= limit,
-                "{fleet} set-ups a second of {limit} by {balancers} nodes, lines told: {told}"
+                "{fleet} set-ups per second by {balancers} nodes exceed {limit}, lines reported: {told}"
             );
-            assert!(fleet > 0.0, "it is warmed up at all");
+            assert!(fleet > 0.0, "the cold server gets some traffic");
         }
     }
 }
 
 #[test]
-fn the_rules_hold_in_a_mesh() {
-    play(&Settings { balancers: 4, home: Some(3), ..settings() });
+fn keeps_rules_in_a_mesh() {
+    check_rules(&Settings { balancers: 4, home: Some(3), ..settings() });
 }
 
 #[test]
-fn the_rules_hold_for_a_lone_node_with_nothing_allowed() {
-    play(&Settings { may_cancel: false, repeat: 0, max_attempts: 6, ..settings() });
+fn keeps_rules_for_a_single_node_without_cancel() {
+    check_rules(&Settings { may_cancel: false, repeat: 0, max_attempts: 6, ..settings() });
 }
 
 #[test]
-fn the_same_events_and_seed_give_the_same_actions() {
-    let day = || {
+fn gives_the_same_actions_for_the_same_events_and_seed() {
+    let run = || {
         let mut controller = Controller::new(settings(), 5).expect("usable settings");
         let mut actions = Vec::new();
         let members = (0..SERVERS).map(|server| member(server, Availability::Ready, None)).collect();
@@ -408,7 +427,7 @@
         }
         actions
     };
-    let first = day();
-    assert!(first.len() > 200);
-    assert_eq!(first, day());
+    let actions = run();
+    assert!(actions.len() > 200);
+    assert_eq!(actions, run());
 }
