--- a/crates/lemoncleat-fleet/benches/size.rs
+++ b/crates/lemoncleat-fleet/benches/size.rs
@@ -1,11 +1,11 @@
-//! What members and facts cost by the size of the fleet, over connections or notes on a simulated network with delays
-//! of 0.5 to 5 ms: at rest, with what nodes tell today, and when things happen. Bytes and messages are exact, sent and
-//! received, in windows of one second a node; those on the wire count what the carrier puts around each word.
-//! The processor's time is the thread's, that of the cores' turns alone. Each size runs in a process of its own, one
-//! after the other.
+//! Measures what members and facts cost by the size of the fleet, over connections or notes on a simulated
+//! network with delays of 0.5 to 5 ms: at rest, with the facts that nodes publish today, and during failures.
+//! Bytes and messages are exact, sent and received, in windows of one second per node; those on the wire
+//! include the overhead that the transport adds to each message. Processor time is that of the thread while
+//! it runs the cores. Each size runs in a process of its own, one after the other.
 //!
 //! `cargo bench -p lemoncleat-fleet --bench size [-- members-200ms members-1s members-notes events regions]`
-//! writes `docs/capacity/slopes.json`; `CAPACITY_QUIET=yes` says that nothing else ran on the machine.
+//! writes `docs/capacity/slopes.json`; `CAPACITY_QUIET=yes` states that nothing else ran on the machine.
 
 #[path = "../../lemoncleat-lab/src/capacity/record.rs"]
 mod record;
@@ -20,25 +20,26 @@
 use rand::{Rng, SeedableRng};
 use record::{record, Series, Spent};
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 const SIZES: [usize; 5] = [64, 128, 256, 512, 1_024];
-/// A host name of the length that operators give.
+/// A host name of typical length.
 const HOST: &str = "node-0417.calls.example";
 const REALM: &str = "calls.example";
-/// What a node tells of its calls each five seconds while it changes, and of its rules each ten: bytes of a fact.
-const FIGURES: (Kind, Micros, usize) = (Kind(1), 5 * S, 7);
-const RULES: (Kind, Micros, usize) = (Kind(2), 10 * S, 73);
+/// The facts that a node publishes, as kind, interval and bytes: of its calls every five seconds while they
+/// change, and of its rules every ten seconds.
+const LOAD_FACT: (Kind, Micros, usize) = (Kind(1), 5 * SECOND, 7);
+const RULES_FACT: (Kind, Micros, usize) = (Kind(2), 10 * SECOND, 73);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Wake(usize, u64),
-    Tell(usize, u8),
+    Publish(usize, u8),
     Message(usize, usize, Vec<u8>),
     Link(usize, usize),
     Unlink(usize, usize),
 }
 
-/// What a node did in one second.
+/// The traffic and processor time of a node in one second.
 #[derive(Clone, Copy, Default)]
 struct Window {
     sent: u64,
@@ -47,40 +48,40 @@
     wire_received: u64,
     messages_sent: u64,
     messages_received: u64,
-    nanos: u64,
+    processor_ns: u64,
 }
 
-/// Bytes on the wire of a word of this length, and of its answer.
+/// Sizes on the wire of a message and of its answer.
 struct Wire {
-    around: u64,
+    overhead: u64,
     answer: u64,
-    /// To which a word is filled up.
-    unit: usize,
+    /// The size of a message is padded to a multiple of this.
+    padding: usize,
 }
 
 impl Wire {
     fn new(carrier: Carrier) -> Wire {
         if carrier == Carrier::Notes {
-            // The heads of UDP and IPv4; no answer.
-            return Wire { around: 28, answer: 0, unit: 1 };
+            // The headers of UDP and IPv4; there is no answer.
+            return Wire { overhead: 28, answer: 0, padding: 1 };
         }
-        let request = |word: &[u8]| {
+        let request = |message: &[u8]| {
             let request = MessageBuilder::request(d::CMD_FLEET, d::APP_NAS, false, 1, 1);
             let request = request.add_str(d::ORIGIN_HOST, HOST).add_str(d::ORIGIN_REALM, REALM);
-            request.add(d::FLEET_WORD, word).build()
+            request.add(d::FLEET_WORD, message).build()
         };
         let empty = request(&[]);
-        let answer = MessageBuilder::answer(&MessageRef::parse(&empty).expect("ours"), 2001);
+        let answer = MessageBuilder::answer(&MessageRef::parse(&empty).expect("a request built above"), 2001);
         let answer = answer.add_str(d::ORIGIN_HOST, HOST).add_str(d::ORIGIN_REALM, REALM).build();
-        let wire = Wire { around: empty.len() as u64, answer: answer.len() as u64, unit: 4 };
+        let wire = Wire { overhead: empty.len() as u64, answer: answer.len() as u64, padding: 4 };
         for length in [1, 2, 3, 4, 100] {
-            assert_eq!(wire.word(length), request(&vec![0; length]).len() as u64);
+            assert_eq!(wire.message_size(length), request(&vec![0; length]).len() as u64);
         }
         wire
     }
 
-    fn word(&self, length: usize) -> u64 {
-        self.around + length.next_multiple_of(self.unit) as u64
+    fn message_size(&self, length: usize) -> u64 {
+        self.overhead + length.next_multiple_of(self.padding) as u64
     }
 }
 
@@ -88,25 +89,25 @@
     now: Micros,
     nodes: Vec<Option<Fleet>>,
     members: Vec<Member>,
-    places: HashMap<MemberId, usize>,
+    indices: HashMap<MemberId, usize>,
     carrier: Carrier,
     round: Micros,
     wire: Wire,
     cut: BTreeSet<(usize, usize)>,
     window: Vec<Window>,
-    /// Those of all nodes in all seconds that were measured.
+    /// The windows of all nodes in all measured seconds.
     windows: Vec<Window>,
-    /// Words of members that lived when they were suspected, and held gone.
+    /// Reports that held a running, reachable member to be suspect, and to be gone.
     suspected: u64,
     gone: u64,
-    telling: bool,
-    lives: Vec<u64>,
+    publishing: bool,
+    generations: Vec<u64>,
     due: Vec<Option<Micros>>,
     links: BTreeMap<(usize, usize), usize>,
-    degrees: Vec<usize>,
-    busiest: usize,
+    connections: Vec<usize>,
+    max_connections: usize,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     serial: u64,
     rng: SmallRng,
 }
@@ -119,9 +120,9 @@
         };
         let members: Vec<Member> = (0..size).map(name).collect();
         Net {
-            now: S,
+            now: SECOND,
             nodes: (0..size).map(|_| None).collect(),
-            places: members.iter().enumerate().map(|(at, it)| (MemberId::of(&it.name), at)).collect(),
+            indices: members.iter().enumerate().map(|(at, it)| (MemberId::of(&it.name), at)).collect(),
             members,
             carrier,
             round,
@@ -131,14 +132,14 @@
             windows: Vec::new(),
             suspected: 0,
             gone: 0,
-            telling: false,
-            lives: vec![0; size],
+            publishing: false,
+            generations: vec![0; size],
             due: vec![None; size],
             links: BTreeMap::new(),
-            degrees: vec![0; size],
-            busiest: 0,
+            connections: vec![0; size],
+            max_connections: 0,
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             serial: 0,
             rng: SmallRng::seed_from_u64(1),
         }
@@ -147,7 +148,7 @@
     fn start(&mut self, at: usize) {
         let own = self.members[at].name.clone();
         let mut settings = Settings::new(&own, self.members.clone(), self.carrier);
-        // As a node's part in its fleet has it: longest word and patience by the length of a round.
+        // As in a node that is part of a fleet: the longest message, and timeouts in proportion to the round.
         if self.carrier == Carrier::Connections {
             settings.max_message = 32 * 1024;
         }
@@ -159,28 +160,28 @@
         settings.timing.gossip = scaled(usual.gossip);
         settings.timing.sync = scaled(usual.sync);
         settings.timing.retry = scaled(usual.retry);
-        settings.timing.meet = scaled(usual.meet).max(S);
-        let start = 100 + (self.now / S) as u32;
-        self.nodes[at] = Some(Fleet::new(settings, start, self.rng.random()).expect("settings"));
-        self.lives[at] += 1;
+        settings.timing.meet = scaled(usual.meet).max(SECOND);
+        let start = 100 + (self.now / SECOND) as u32;
+        self.nodes[at] = Some(Fleet::new(settings, start, self.rng.random()).expect("valid settings"));
+        self.generations[at] += 1;
         self.due[at] = None;
         self.turn(at, Input::Timeout);
-        if self.telling {
-            self.tell(at);
+        if self.publishing {
+            self.schedule_facts(at);
         }
     }
 
-    /// From now on the node tells its figures and its rules, at moments of its own.
-    fn tell(&mut self, at: usize) {
-        for (kind, every, _) in [FIGURES, RULES] {
+    /// Starts to publish the node's facts periodically, at random offsets.
+    fn schedule_facts(&mut self, at: usize) {
+        for (kind, every, _) in [LOAD_FACT, RULES_FACT] {
             let first = self.rng.random_range(0..every);
-            self.push(first, Event::Tell(at, kind.0));
+            self.push(first, Event::Publish(at, kind.0));
         }
     }
 
     fn kill(&mut self, at: usize) {
         self.nodes[at] = None;
-        self.lives[at] += 1;
+        self.generations[at] += 1;
         for (one, other) in self.links.keys().copied().collect::<Vec<_>>() {
             if one == at || other == at {
                 self.unlink((one, other));
@@ -191,12 +192,12 @@
 
     fn unlink(&mut self, pair: (usize, usize)) {
         if self.links.remove(&pair).is_some() {
-            self.degrees[pair.0] -= 1;
-            self.degrees[pair.1] -= 1;
+            self.connections[pair.0] -= 1;
+            self.connections[pair.1] -= 1;
         }
     }
 
-    /// The links between two sets of nodes fall away, and their connections with them.
+    /// Cuts the links between two sets of nodes, and ends the connections over them.
     fn cut(&mut self, one: &[usize], other: &[usize]) {
         for one in one {
             for other in other {
@@ -204,16 +205,16 @@
                 let pair = (*one.min(other), *one.max(other));
                 if self.links.contains_key(&pair) {
                     self.unlink(pair);
-                    self.push(S, Event::Unlink(*one, *other));
-                    self.push(S, Event::Unlink(*other, *one));
+                    self.push(SECOND, Event::Unlink(*one, *other));
+                    self.push(SECOND, Event::Unlink(*other, *one));
                 }
             }
         }
     }
 
     fn push(&mut self, after: Micros, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((self.now + after, self.count, event)));
+        self.event_count += 1;
+        self.queue.push(Reverse((self.now + after, self.event_count, event)));
     }
 
     fn turn(&mut self, at: usize, input: Input<'_>) {
@@ -222,37 +223,37 @@
         let began = Spent::now();
         node.handle(self.now, input, &mut out);
         let wake = node.wake();
-        self.window[at].nanos += began.nanos();
+        self.window[at].processor_ns += began.nanos();
         if let Some(wake) = wake {
             if self.due[at].is_none_or(|due| wake < due || due <= self.now) {
                 self.due[at] = Some(wake.max(self.now + 1));
-                self.push((wake - self.now).max(1), Event::Wake(at, self.lives[at]));
+                self.push((wake - self.now).max(1), Event::Wake(at, self.generations[at]));
             }
         }
         for output in out {
-            self.carry_out(at, output);
+            self.apply_output(at, output);
         }
     }
 
-    fn carry_out(&mut self, at: usize, output: Output) {
+    fn apply_output(&mut self, at: usize, output: Output) {
         match output {
             Output::Tell { to, bytes } => {
-                let to = self.places[&to];
+                let to = self.indices[&to];
                 let window = &mut self.window[at];
                 window.messages_sent += 1;
                 window.sent += bytes.len() as u64;
-                window.wire_sent += self.wire.word(bytes.len());
+                window.wire_sent += self.wire.message_size(bytes.len());
                 if !self.cut.contains(&(at, to)) {
                     let delay = self.rng.random_range(500..5_000);
                     self.push(delay, Event::Message(at, to, bytes));
                 }
             }
             Output::Meet(to) => {
-                let to = self.places[&to];
+                let to = self.indices[&to];
                 self.push(10_000, Event::Link(at, to));
             }
             Output::Part(to) => {
-                let to = self.places[&to];
+                let to = self.indices[&to];
                 let pair = (at.min(to), at.max(to));
                 if self.links.get(&pair) == Some(&at) {
                     self.unlink(pair);
@@ -261,7 +262,7 @@
                 }
             }
             Output::State { member, state, .. } => {
-                let member = self.places[&member];
+                let member = self.indices[&member];
                 if self.nodes[member].is_some() && !self.cut.contains(&(member, at)) {
                     self.suspected += u64::from(state == State::Suspect);
                     self.gone += u64::from(state == State::Gone);
@@ -271,39 +272,39 @@
         }
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Wake(at, life) => {
-                if life == self.lives[at] && self.due[at].is_some_and(|due| due <= self.now) {
+            Event::Wake(at, generation) => {
+                if generation == self.generations[at] && self.due[at].is_some_and(|due| due <= self.now) {
                     self.due[at] = None;
                     let wake = self.nodes[at].as_ref().and_then(Fleet::wake);
                     match wake {
                         Some(wake) if wake > self.now => {
                             self.due[at] = Some(wake);
-                            self.push(wake - self.now, Event::Wake(at, life));
+                            self.push(wake - self.now, Event::Wake(at, generation));
                         }
                         Some(_) => self.turn(at, Input::Timeout),
                         None => {}
                     }
                 }
             }
-            Event::Tell(at, kind) => {
-                let (kind, every, length) = if kind == FIGURES.0 .0 { FIGURES } else { RULES };
+            Event::Publish(at, kind) => {
+                let (kind, every, length) = if kind == LOAD_FACT.0 .0 { LOAD_FACT } else { RULES_FACT };
                 self.serial += 1;
                 let mut bytes = vec![0; length];
                 bytes[..7].copy_from_slice(&self.serial.to_be_bytes()[1..]);
                 self.turn(at, Input::Publish { kind, bytes });
-                self.push(every, Event::Tell(at, kind.0));
+                self.push(every, Event::Publish(at, kind.0));
             }
             Event::Message(from, at, bytes) => {
                 if self.cut.contains(&(from, at)) || self.nodes[at].is_none() {
                     return;
                 }
-                let (word, answer) = (self.wire.word(bytes.len()), self.wire.answer);
+                let (message, answer) = (self.wire.message_size(bytes.len()), self.wire.answer);
                 let window = &mut self.window[at];
                 window.messages_received += 1;
                 window.received += bytes.len() as u64;
-                window.wire_received += word;
+                window.wire_received += message;
                 window.wire_sent += answer;
                 self.window[from].wire_received += answer;
                 let from = MemberId::of(&self.members[from].name);
@@ -314,9 +315,10 @@
                     let pair = (at.min(to), at.max(to));
                     if let std::collections::btree_map::Entry::Vacant(link) = self.links.entry(pair) {
                         link.insert(at);
-                        self.degrees[at] += 1;
-                        self.degrees[to] += 1;
-                        self.busiest = self.busiest.max(self.degrees[at]).max(self.degrees[to]);
+                        self.connections[at] += 1;
+                        self.connections[to] += 1;
+                        self.max_connections =
+                            self.max_connections.max(self.connections[at]).max(self.connections[to]);
                     }
                     let (at_id, to_id) =
                         (MemberId::of(&self.members[at].name), MemberId::of(&self.members[to].name));
@@ -336,44 +338,45 @@
         while self.queue.peek().is_some_and(|next| next.0 .0 <= until) {
             let Reverse((at, _, event)) = self.queue.pop().expect("peeked");
             self.now = at;
-            self.step(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
 
-    /// Runs one second and keeps what each node did in it.
-    fn second(&mut self) {
+    /// Runs one second and records the window of each node.
+    fn run_second(&mut self) {
         self.window.iter_mut().for_each(|window| *window = Window::default());
-        self.run(S);
-        let there: Vec<Window> =
+        self.run(SECOND);
+        let running: Vec<Window> =
             (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some()).map(|at| self.window[at]).collect();
-        self.windows.extend(there);
+        self.windows.extend(running);
     }
 
-    /// Whether each node that is there holds those that are there for alive, and all others for gone.
-    fn at_one(&self) -> bool {
-        let there = self.nodes.iter().flatten().count();
+    /// Returns whether each running node holds the running ones to be alive and all others to be gone.
+    fn converged(&self) -> bool {
+        let running = self.nodes.iter().flatten().count();
         self.nodes.iter().flatten().all(|node| {
             let gone = || node.members().filter(|(_, _, state, _)| *state == State::Gone).count();
-            node.alive() == there && gone() == self.nodes.len() - there
+            node.alive() == running && gone() == self.nodes.len() - running
         })
     }
 
-    /// Runs until all nodes that are there are at one; how long that took in seconds. Keeps the windows of the time.
-    fn settle(&mut self, most: usize) -> f64 {
+    /// Runs until all running nodes have converged. Returns the time that took in seconds, and records the
+    /// windows of that time.
+    fn settle(&mut self, limit: usize) -> f64 {
         let began = self.now;
-        for _ in 0..most {
+        for _ in 0..limit {
             self.window.iter_mut().for_each(|window| *window = Window::default());
             let mut known = None;
             for _ in 0..10 {
-                self.run(S / 10);
-                if known.is_none() && self.at_one() {
-                    known = Some((self.now - began) as f64 / S as f64);
+                self.run(SECOND / 10);
+                if known.is_none() && self.converged() {
+                    known = Some((self.now - began) as f64 / SECOND as f64);
                 }
             }
-            let there = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some());
-            let there: Vec<Window> = there.map(|at| self.window[at]).collect();
-            self.windows.extend(there);
+            let running = (0..self.nodes.len()).filter(|at| self.nodes[*at].is_some());
+            let running: Vec<Window> = running.map(|at| self.window[at]).collect();
+            self.windows.extend(running);
             if let Some(known) = known {
                 return known;
             }
@@ -381,10 +384,10 @@
         f64::NAN
     }
 
-    /// Prints figures of the windows kept since the last time.
+    /// Prints figures of the windows recorded since the last call.
     fn print(&mut self, what: &str) {
         let windows = std::mem::take(&mut self.windows);
-        let put = |name: &str, of: &dyn Fn(&Window) -> f64| {
+        let print_figure = |name: &str, of: &dyn Fn(&Window) -> f64| {
             let mut all: Vec<f64> = windows.iter().map(of).collect();
             all.sort_by(f64::total_cmp);
             let mean = all.iter().sum::<f64>() / all.len() as f64;
@@ -392,18 +395,18 @@
             println!("{what}-{name}-p99 {}", all[(all.len() * 99).div_ceil(100) - 1]);
             println!("{what}-{name}-most {}", all[all.len() - 1]);
         };
-        put("words-sent", &|window| window.sent as f64);
-        put("words-received", &|window| window.received as f64);
-        put("wire-sent", &|window| window.wire_sent as f64);
-        put("wire-received", &|window| window.wire_received as f64);
-        put("wire-both", &|window| (window.wire_sent + window.wire_received) as f64);
-        put("messages-sent", &|window| window.messages_sent as f64);
-        put("messages-received", &|window| window.messages_received as f64);
-        put("processor", &|window| window.nanos as f64 / 1e3);
+        print_figure("words-sent", &|window| window.sent as f64);
+        print_figure("words-received", &|window| window.received as f64);
+        print_figure("wire-sent", &|window| window.wire_sent as f64);
+        print_figure("wire-received", &|window| window.wire_received as f64);
+        print_figure("wire-both", &|window| (window.wire_sent + window.wire_received) as f64);
+        print_figure("messages-sent", &|window| window.messages_sent as f64);
+        print_figure("messages-received", &|window| window.messages_received as f64);
+        print_figure("processor", &|window| window.processor_ns as f64 / 1e3);
     }
 }
 
-/// Resident memory of this process in bytes, as Linux tells it.
+/// Returns the resident memory of this process in bytes, as Linux reports it.
 fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(f64::NAN) * 4096.0
@@ -420,104 +423,109 @@
     let before = resident();
     let mut net = Net::new(size, carrier, round);
     start_all(&mut net, "start");
-    net.run(5 * S);
-    (0..5).for_each(|_| net.second());
+    net.run(5 * SECOND);
+    (0..5).for_each(|_| net.run_second());
     net.print("rest");
-    println!("rest-connections {}", net.busiest);
-    net.telling = true;
-    (0..size).for_each(|at| net.tell(at));
-    // Gossip takes some tenths of a second: after two the telling is as it stays.
-    net.run(2 * S);
-    (0..3).for_each(|_| net.second());
+    println!("rest-connections {}", net.max_connections);
+    net.publishing = true;
+    (0..size).for_each(|at| net.schedule_facts(at));
+    // Gossip takes some tenths of a second: after two seconds the load is steady.
+    net.run(2 * SECOND);
+    (0..3).for_each(|_| net.run_second());
     net.print("told");
     println!("told-memory {}", (resident() - before) / size as f64);
     println!("told-suspected {}", net.suspected);
     println!("told-gone {}", net.gone);
-    // One more fact, until all have it, or for 5 s.
+    // Publishes one more fact, and waits until all nodes have it, for at most 5 s.
     let began = net.now;
     let number = |net: &Net| -> usize {
         net.nodes.iter().flatten().filter(|node| node.facts(net.now, Kind(3)).next().is_some()).count()
     };
     net.turn(0, Input::Publish { kind: Kind(3), bytes: vec![7; 8] });
-    while number(&net) < size && net.now - began < 5 * S {
-        net.run(S / 50);
+    while number(&net) < size && net.now - began < 5 * SECOND {
+        net.run(SECOND / 50);
     }
-    println!("told-fact {}", (net.now - began) as f64 / S as f64);
+    println!("told-fact {}", (net.now - began) as f64 / SECOND as f64);
 }
 
 fn events(size: usize, round: Micros) {
     let mut net = Net::new(size, Carrier::Connections, round);
     start_all(&mut net, "start");
-    net.run(5 * S);
+    net.run(5 * SECOND);
     net.windows.clear();
     (net.suspected, net.gone) = (0, 0);
-    let away = |net: &mut Net, what: &str, gone: Vec<usize>| {
+    let fail_and_restart = |net: &mut Net, what: &str, gone: Vec<usize>| {
         gone.iter().for_each(|at| net.kill(*at));
         println!("{what}-gone-known {}", net.settle(60));
         net.print(&format!("{what}-gone"));
-        net.run(3 * S);
+        net.run(3 * SECOND);
         gone.iter().for_each(|at| net.start(*at));
         println!("{what}-back-known {}", net.settle(60));
         net.print(&format!("{what}-back"));
-        net.run(5 * S);
+        net.run(5 * SECOND);
         println!("{what}-suspected {}", std::mem::take(&mut net.suspected));
         println!("{what}-held-gone {}", std::mem::take(&mut net.gone));
     };
-    away(&mut net, "machine", vec![1]);
-    // A rack is 1 in 25 of all, a zone 1 in 8.
-    away(&mut net, "rack", (0..size).filter(|at| at % 25 == 3).collect());
-    away(&mut net, "zone", (0..size).filter(|at| at % 8 == 3).collect());
+    fail_and_restart(&mut net, "machine", vec![1]);
+    // A rack is 1 in 25 nodes, a zone 1 in 8.
+    fail_and_restart(&mut net, "rack", (0..size).filter(|at| at % 25 == 3).collect());
+    fail_and_restart(&mut net, "zone", (0..size).filter(|at| at % 8 == 3).collect());
 }
 
-/// One node in three, a region, apart from all others for half a minute, and back.
+/// Isolates one node in three, a region, from all others for half a minute, and reconnects it.
 fn regions(size: usize, round: Micros) {
     let mut net = Net::new(size, Carrier::Connections, round);
     start_all(&mut net, "start");
-    net.run(5 * S);
+    net.run(5 * SECOND);
     net.windows.clear();
     let (one, others): (Vec<usize>, Vec<usize>) = (0..size).partition(|at| at % 3 == 0);
     net.cut(&one, &others);
-    (0..30).for_each(|_| net.second());
+    (0..30).for_each(|_| net.run_second());
     net.print("apart");
     net.cut.clear();
     println!("back-known {}", net.settle(60));
     net.print("back");
 }
 
-fn child(mode: &str, size: usize) {
+fn run_child(mode: &str, size: usize) {
     match mode {
-        "members-200ms" => members(size, Carrier::Connections, S / 5),
-        "members-1s" => members(size, Carrier::Connections, S),
-        "members-notes" => members(size, Carrier::Notes, S),
-        "events" => events(size, S / 5),
-        "regions" => regions(size, S / 5),
+        "members-200ms" => members(size, Carrier::Connections, SECOND / 5),
+        "members-1s" => members(size, Carrier::Connections, SECOND),
+        "members-notes" => members(size, Carrier::Notes, SECOND),
+        "events" => events(size, SECOND / 5),
+        "regions" => regions(size, SECOND / 5),
         _ => panic!("{mode}: members-200ms, members-1s, members-notes, events or regions"),
     }
 }
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).filter(|it| it != "--bench").collect();
-    if let [child_of, mode, size] = &arguments[..] {
-        if child_of == "one" {
-            return child(mode, size.parse().expect("a size"));
+    if let [role, mode, size] = &arguments[..] {
+        if role == "one" {
+            return run_child(mode, size.parse().expect("a size"));
         }
     }
     let modes = ["members-200ms", "members-1s", "members-notes", "events", "regions"];
     for mode in modes.iter().filter(|mode| arguments.is_empty() || arguments.iter().any(|it| it == *mode)) {
-        let mut found: BTreeMap<String, Vec<f64>> = BTreeMap::new();
+        let mut figures: BTreeMap<String, Vec<f64>> = BTreeMap::new();
         for size in SIZES {
             let own = std::env::current_exe().expect("this program");
-            let ran = std::process::Command::new(own).args(["one", mode, &size.to_string()]).output();
-            let ran = ran.expect("it runs");
-            assert!(ran.status.success(), "{mode} {size}: {}", String::from_utf8_lossy(&ran.stderr));
-            for line in String::from_utf8_lossy(&ran.stdout).lines() {
+            let child_output =
+                std::process::Command::new(own).args(["one", mode, &size.to_string()]).output();
+            let child_output = child_output.expect("the child process runs");
+            assert!(
+                child_output.status.success(),
+                "{mode} {size}: {}",
+                String::from_utf8_lossy(&child_output.stderr)
+            );
+            for line in String::from_utf8_lossy(&child_output.stdout).lines() {
                 println!("{mode} {size} {line}");
                 let (name, value) = line.split_once(' ').expect("a name and a value");
-                found.entry(name.to_owned()).or_default().push(value.parse().expect("a number"));
+                figures.entry(name.to_owned()).or_default().push(value.parse().expect("a number"));
             }
         }
         let command = format!("cargo bench -p lemoncleat-fleet --bench size -- {mode}");
-        let series = found.into_iter().map(|(name, measured)| Series {
+        let series = figures.into_iter().map(|(name, measured)| Series {
             unit: unit(&name),
             size: "members",
             sizes: SIZES.iter().map(|size| *size as f64).collect(),
--- a/crates/lemoncleat-fleet/src/fleet.rs
+++ b/crates/lemoncleat-fleet/src/fleet.rs
@@ -18,245 +18,265 @@
 mod views;
 
 use probes::{Probe, Relay, Suspicion};
-use spread::Spread;
-
-/// Most bytes of a fact, so that one fits into a note beside a header.
-const MOST_FACT_BYTES: usize = 160;
-/// Most kinds of facts of a node.
-const MOST_KINDS: usize = 16;
-/// Most words that wait for a connection.
-const MOST_WAITING: usize = 128;
-/// Incarnations above this are not believed: there must be room to jump above each.
-const MOST_INCARNATION: u64 = (u32::MAX as u64 - 0xffff) << 32;
-
-/// What a fact is about. Its meaning is others' business.
+use spread::UpdateStore;
+
+/// Maximum size of a fact in bytes, so that one fits into a note beside a header.
+const MAX_FACT_BYTES: usize = 160;
+/// Maximum number of kinds of facts per node.
+const MAX_KINDS: usize = 16;
+/// Maximum number of direct messages that wait for a connection.
+const MAX_QUEUED_DIRECT: usize = 128;
+/// Incarnations above this are rejected, so that there is always room to jump above an accepted one.
+const MAX_INCARNATION: u64 = (u32::MAX as u64 - 0xffff) << 32;
+
+/// The kind of a fact. Its meaning is defined by the user of this package.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Kind(pub u8);
 
-/// What a node has set out about itself.
+/// A value that a node has published about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fact {
-    /// Who set it out.
+    /// The node that published it.
     pub origin: MemberId,
     /// What it is about.
     pub kind: Kind,
-    /// The origin's incarnation when it was set out.
+    /// The origin's incarnation when the fact was published.
     pub incarnation: u64,
-    /// Grows with each fact of an incarnation.
+    /// Increases with each fact of an incarnation.
     pub number: u64,
-    /// How long ago it was set out, at least: spans spent at members are summed, those spent on the way are not.
+    /// Lower bound of the time since the fact was published: the time spent at members is added up, the time
+    /// spent in transit is not.
     pub age: Micros,
-    /// The fact itself; at most 160 bytes.
+    /// The value itself; at most 160 bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What a fleet is told.
+/// Input of a fleet.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A message has come from this member, as its carrier knows it.
+    /// A message was received from this member, as identified by the transport.
     Heard {
-        /// Who sent it.
+        /// The sender.
         from: MemberId,
         /// The message.
         bytes: &'a [u8],
     },
-    /// There is a connection to this member, whoever sought it. Not under [`Carrier::Notes`].
+    /// A connection to this member is established, whichever side initiated it. Not used with
+    /// [`Carrier::Notes`].
     Linked(MemberId),
     /// The connection to this member has ended.
     Unlinked(MemberId),
-    /// An own fact is to be set out, in place of the one of its kind.
+    /// Publishes a fact of this node, which replaces the previous one of its kind.
     Publish {
-        /// What it is about.
+        /// What the fact is about.
         kind: Kind,
-        /// At most 160 bytes; with more it is dropped, with a notice.
+        /// At most 160 bytes; a larger fact is dropped, with a notice.
         bytes: Vec<u8>,
     },
-    /// Bytes of another core are to reach one member, once at most. Over connections they wait for one.
+    /// Sends bytes of another core to one member, at most once. Over connections they wait until one is
+    /// established.
     Direct {
-        /// Who is to have them.
+        /// The receiver.
         to: MemberId,
-        /// What does not fit into one message is dropped, with a notice.
+        /// Bytes that do not fit into one message are dropped, with a notice.
         bytes: Vec<u8>,
     },
-    /// All members from now on, in any order. What is held of those that stay is kept, those that are new are gone
-    /// until they are heard of, and those that went are forgotten: their words are a stranger's. A list that can't be
-    /// used, as [`Fleet::check_members`] tells, changes nothing and is told by a notice.
+    /// Replaces the list of members, in any order. The state of members that stay is kept; new members are
+    /// held to be gone until they are heard from; removed members are forgotten, and their messages count as
+    /// a stranger's. A list that [`Fleet::check_members`] rejects changes nothing and causes a notice.
     Members(Vec<Member>),
-    /// [`Fleet::wake`] is due.
+    /// The time that [`Fleet::wake`] returned has been reached.
     Timeout,
 }
 
-/// What a fleet asks for or tells.
+/// Output of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send this message.
     Tell {
-        /// To this member.
+        /// The receiver.
         to: MemberId,
         /// At most [`Settings::max_message`] bytes.
         bytes: Vec<u8>,
     },
-    /// Connect to this member; [`Input::Linked`] tells that it worked, nothing that it did not.
+    /// Connect to this member. [`Input::Linked`] reports success; a failure is not reported.
     Meet(MemberId),
-    /// End the connection to this member, after all that it was told, if this node made it. [`Input::Unlinked`] tells
-    /// that it has ended; one that the member made may stay, and goes on being used.
+    /// End the connection to this member after all pending messages, if this node initiated it.
+    /// [`Input::Unlinked`] reports that it has ended; a connection that the member initiated may stay, and
+    /// remains in use.
     Part(MemberId),
-    /// A newer fact of another member, or one of a member that is back.
+    /// A newer fact of another member, or a fact of a member that is back.
     Fact(Fact),
-    /// What is held of a member has changed.
+    /// The state in which a member is held has changed.
     State {
         /// The member.
         member: MemberId,
-        /// What is held of it now.
+        /// Its state now.
         state: State,
-        /// The incarnation that it is held of.
+        /// The incarnation that the state refers to.
         incarnation: u64,
     },
     /// Bytes from the core of another member.
     Direct {
-        /// Who sent them.
+        /// The sender.
         from: MemberId,
-        /// What was sent.
+        /// The bytes.
         bytes: Vec<u8>,
     },
-    /// Something for the log; of each sort one now and then.
+    /// An event for the log, limited in rate per sort.
     Notice(Notice),
 }
 
-/// Something for the log.
+/// An event for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Notice {
     /// A message came from a process that is not a member.
     Stranger(MemberId),
-    /// A message of this member calls itself another.
+    /// A message of this member names another sender.
     Impostor(MemberId),
-    /// A message of this member can't be read.
+    /// A message of this member can't be decoded.
     Unreadable(MemberId),
-    /// The fleet remembers a later start of this node, or another process has its name; it goes on above that.
+    /// The fleet remembers a later start of this node, or another process uses its name; the node goes on
+    /// with a higher incarnation.
     Jumped,
-    /// The node had no turn for some time, in microseconds, and holds nobody's silence in it against them.
+    /// The node was not run for this many microseconds, and does not count the silence of others in that time
+    /// as a failure.
     Paused(Micros),
     /// Bytes for this member were dropped: too many, too large, or not connected in time.
     DirectDropped(MemberId),
-    /// A fact was dropped: of an own or another's too many kinds, or too large.
+    /// A fact was dropped: the origin (this node or another) has too many kinds, or the fact is too large.
     FactDropped(MemberId),
-    /// A list of so many members can't be used; the one before stays.
+    /// A list with this many members was rejected; the previous one stays in use.
     MembersRefused(usize),
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Messages told.
+    /// Messages sent.
     pub told: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent.
     pub told_bytes: u64,
-    /// Messages heard of members.
+    /// Messages received from members.
     pub heard: u64,
-    /// Words of processes that are not members.
+    /// Messages of, or about, processes that are not members.
     pub strangers: u64,
-    /// Messages that call themselves another's.
+    /// Messages that name a sender other than the member they came from.
     pub impostors: u64,
-    /// Messages that can't be read.
+    /// Messages that can't be decoded.
     pub unreadable: u64,
     /// Messages and facts of an earlier process of a member.
     pub stale: u64,
-    /// Probes begun.
+    /// Probes started.
     pub probes: u64,
-    /// Suspicions from own probes.
+    /// Suspicions raised by own probes.
     pub suspicions: u64,
     /// Suspicions of this node that it refuted.
     pub refuted: u64,
     /// Jumps above an incarnation that the fleet remembered.
     pub jumps: u64,
-    /// Facts beyond a limit.
+    /// Facts dropped because of a limit.
     pub facts_dropped: u64,
-    /// Bytes of other cores that were dropped.
+    /// Direct messages of other cores that were dropped.
     pub direct_dropped: u64,
-    /// Connections asked for.
-    pub meets: u64,
-    /// News that a comparison found and gossip had not brought.
-    pub mended: u64,
+    /// Connections requested.
+    pub connects_requested: u64,
+    /// Updates that a comparison found and gossip had not delivered.
+    pub repaired: u64,
 }
 
-/// What is held of another member.
+/// What this node holds of another member.
 struct Peer {
     member: Member,
     state: State,
-    /// 0 until it was heard of.
+    /// 0 until the member has been heard from.
     incarnation: u64,
     linked: bool,
-    /// This node asked for the connection, and may end it.
-    sought: bool,
-    /// The other side has said that it ends the connection, so its end is no bad sign.
-    parting: bool,
-    /// A connection was asked for, and is waited for until then.
-    meeting: Option<Micros>,
-    /// A connection is of use until then, whether or not it is one of the few that the node keeps.
-    keep: Micros,
-    /// No connection came; it is not one of the few until then.
-    avoid: Micros,
-    /// Comparisons with it that were hurried in vain, one after another. Nodes that hold different lists of members
-    /// never hold the same states: without an end they would compare several times a second for as long as that lasts.
-    futile: u32,
+    /// This node requested the connection, and may end it.
+    initiated: bool,
+    /// The other side has announced that it ends the connection, so its end is not a sign of failure.
+    closing: bool,
+    /// A connection was requested; the request expires at this time.
+    connect_deadline: Option<Micros>,
+    /// The connection is kept until this time, even if it is not one of the desired ones.
+    keep_until: Micros,
+    /// A requested connection was not established; the member is not one of the desired ones until this time.
+    avoid_until: Micros,
+    /// Number of consecutive early comparisons with this member that repaired nothing. Nodes with different
+    /// lists of members never hold the same states: without a limit they would compare several times a second
+    /// for as long as the lists differ.
+    futile_syncs: u32,
 }
 
 impl Peer {
-    /// A member that was never heard of.
-    fn unheard(member: Member) -> Peer {
-        let (state, incarnation, meeting) = (State::Gone, 0, None);
-        let (linked, sought, parting) = (false, false, false);
-        let (keep, avoid, futile) = (0, 0, 0);
-        Peer { member, state, incarnation, linked, sought, parting, meeting, keep, avoid, futile }
+    /// Returns a member that was never heard from.
+    fn never_heard(member: Member) -> Peer {
+        let (state, incarnation, connect_deadline) = (State::Gone, 0, None);
+        let (linked, initiated, closing) = (false, false, false);
+        let (keep_until, avoid_until, futile_syncs) = (0, 0, 0);
+        Peer {
+            member,
+            state,
+            incarnation,
+            linked,
+            initiated,
+            closing,
+            connect_deadline,
+            keep_until,
+            avoid_until,
+            futile_syncs,
+        }
     }
 }
 
-/// One node's view of who is there and of what the others have set out.
+/// One node's view of the members and of the facts they have published.
 pub struct Fleet {
     own: MemberId,
     member: Member,
     carrier: Carrier,
     max_message: usize,
     timing: Timing,
-    /// How many connections the node seeks.
+    /// How many connections the node initiates.
     links: usize,
     incarnation: u64,
     number: u64,
-    jumped: Option<Micros>,
+    last_jump: Option<Micros>,
     last_heard: Option<Micros>,
     peers: BTreeMap<MemberId, Peer>,
-    spread: Spread,
-    /// The members in several orders that all nodes know; the next after itself is one that a node seeks.
+    store: UpdateStore,
+    /// The members in several orders that are the same on all nodes. A node connects to the one after itself
+    /// in each.
     rings: Vec<Vec<MemberId>>,
     probes: BTreeMap<u32, Probe>,
     relays: BTreeMap<u32, Relay>,
     suspicions: BTreeMap<MemberId, Suspicion>,
-    /// In which order members are probed, the next one last.
-    order: Vec<MemberId>,
+    /// The order in which members are probed; the next one is last.
+    probe_order: Vec<MemberId>,
     sequence: u32,
-    /// How often in a row the node's own probes failed without a word of anybody (Lifeguard's local health).
-    unwell: u32,
-    waiting: VecDeque<(Micros, MemberId, Vec<u8>)>,
+    /// How many own probes failed in a row without an answer from any node (Lifeguard's local health).
+    local_health: u32,
+    queued_direct: VecDeque<(Micros, MemberId, Vec<u8>)>,
     next_round: Option<Micros>,
     next_gossip: Option<Micros>,
     next_sync: Micros,
-    /// Whom the next comparison is with: one whose states were found to differ.
-    sync_with: Option<MemberId>,
+    /// The peer of the next comparison: one whose states were found to differ.
+    next_sync_peer: Option<MemberId>,
     next_retry: Micros,
-    noticed: BTreeMap<u8, Micros>,
-    /// Others hold another list of members, or did: they named somebody who is none here, or the own list changed.
+    last_notices: BTreeMap<u8, Micros>,
+    /// Other nodes hold, or held, a different list of members: they named a process that is not a member
+    /// here, or the own list has changed.
     lists_differ: bool,
     rng: SmallRng,
     stats: Stats,
 }
 
 impl Fleet {
-    /// A node that starts. `start` is in seconds and grows with each start of the node, as Origin-State-Id does
-    /// (RFC 6733 section 8.16); `seed` spreads the nodes' rounds.
+    /// Returns a node that starts. `start` is in seconds and grows with each start of the node, as
+    /// Origin-State-Id does (RFC 6733 section 8.16); `seed` spreads the rounds of the nodes over time.
     ///
     /// # Errors
     ///
-    /// When the settings can't be used.
+    /// Returns an error if the settings can't be used.
     pub fn new(settings: Settings, start: u32, seed: u64) -> Result<Fleet, SettingsError> {
         let by_id = settings.by_id()?;
         let own = MemberId::of(&settings.own);
@@ -268,26 +288,26 @@
             max_message: settings.max_message,
             timing: settings.timing,
             links: settings.links,
-            incarnation: (u64::from(start) << 32).min(MOST_INCARNATION) + 1,
+            incarnation: (u64::from(start) << 32).min(MAX_INCARNATION) + 1,
             number: 0,
-            jumped: None,
+            last_jump: None,
             last_heard: None,
-            spread: Spread::new(by_id.len()),
+            store: UpdateStore::new(by_id.len()),
             peers: BTreeMap::new(),
             rings,
             probes: BTreeMap::new(),
             relays: BTreeMap::new(),
             suspicions: BTreeMap::new(),
-            order: Vec::new(),
+            probe_order: Vec::new(),
             sequence: 0,
-            unwell: 0,
-            waiting: VecDeque::new(),
+            local_health: 0,
+            queued_direct: VecDeque::new(),
             next_round: None,
             next_gossip: None,
             next_sync: 0,
-            sync_with: None,
+            next_sync_peer: None,
             next_retry: 0,
-            noticed: BTreeMap::new(),
+            last_notices: BTreeMap::new(),
             lists_differ: false,
             rng: SmallRng::seed_from_u64(seed),
             stats: Stats::default(),
@@ -298,32 +318,32 @@
                 fleet.member = member;
                 continue;
             }
-            fleet.peers.insert(id, Peer::unheard(member));
+            fleet.peers.insert(id, Peer::never_heard(member));
         }
-        fleet.spread.set_state(own, State::Alive, fleet.incarnation, own);
+        fleet.store.set_state(own, State::Alive, fleet.incarnation, own);
         Ok(fleet)
     }
 
-    /// The fleet is told something, or that it is time.
+    /// Handles an input, and then everything that is due at `now`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
-        self.start_clocks(now, out);
+        self.adjust_timers(now, out);
         match input {
-            Input::Heard { from, bytes } => self.heard(now, from, bytes, out),
-            Input::Linked(id) => self.linked(now, id, out),
-            Input::Unlinked(id) => self.unlinked(now, id, out),
+            Input::Heard { from, bytes } => self.handle_message(now, from, bytes, out),
+            Input::Linked(id) => self.handle_linked(now, id, out),
+            Input::Unlinked(id) => self.handle_unlinked(now, id, out),
             Input::Publish { kind, bytes } => self.publish(now, kind, bytes, out),
-            Input::Direct { to, bytes } => self.direct(now, to, bytes, out),
-            // Nothing that is due is done at once: whoever carries the words may learn of the new members later.
+            Input::Direct { to, bytes } => self.send_direct(now, to, bytes, out),
+            // Due work is not run here: the transport may learn of the new members only after this call.
             Input::Members(members) => return self.change_members(now, members, out),
             Input::Timeout => {}
         }
-        self.due(now, out);
+        self.run_due(now, out);
     }
 
-    /// When the fleet needs a turn at the latest; none before its first.
+    /// Returns the time at which the fleet must be run next at the latest, or none before its first run.
     pub fn wake(&self) -> Option<Micros> {
         let mut wake = self.next_round?.min(self.next_sync).min(self.next_retry);
-        if let (Some(gossip), true) = (self.next_gossip, self.spread.is_hot()) {
+        if let (Some(gossip), true) = (self.next_gossip, self.store.has_pending()) {
             wake = wake.min(gossip);
         }
         let probes = self.probes.values().map(|probe| probe.due);
@@ -331,47 +351,49 @@
         Some(probes.chain(suspicions).fold(wake, Micros::min))
     }
 
-    /// The newest fact of this kind of each member that is not gone, the node itself among them.
+    /// Returns the newest fact of this kind of each member that is not gone, including the node itself.
     pub fn facts(&self, now: Micros, kind: Kind) -> impl Iterator<Item = Fact> + '_ {
         let origins = self.peers.iter().filter(|(_, peer)| peer.state != State::Gone).map(|(id, _)| *id);
         let life = self.timing.life;
         std::iter::once(self.own)
             .chain(origins)
-            .filter_map(move |origin| self.spread.fact(now, origin, kind))
+            .filter_map(move |origin| self.store.fact(now, origin, kind))
             .filter(move |fact| fact.age <= life)
     }
 
-    /// All members by digest, the node itself first, with what is held of them and of which incarnation.
+    /// Returns all members, the node itself first and the others by digest, with state and incarnation.
     pub fn members(&self) -> impl Iterator<Item = (MemberId, &Member, State, u64)> + '_ {
         let own = (self.own, &self.member, State::Alive, self.incarnation);
         let others = self.peers.iter().map(|(id, peer)| (*id, &peer.member, peer.state, peer.incarnation));
         std::iter::once(own).chain(others)
     }
 
-    /// How many members are alive, the node itself among them; suspects are not.
+    /// Returns the number of members that are alive, including the node itself but no suspects.
     pub fn alive(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.state == State::Alive).count()
     }
 
-    /// How long no member at all has been heard, in microseconds; none if never. After a few rounds of silence it
-    /// is most likely this node that is cut off, long before it has probed all others and holds them for gone.
+    /// Returns the time since a message of any member was received, in microseconds; none if there never was
+    /// one. After a few rounds of silence it is most likely this node that is cut off, long before it has
+    /// probed all others and holds them to be gone.
     pub fn quiet(&self, now: Micros) -> Option<Micros> {
         self.last_heard.map(|last| now - last)
     }
 
-    /// The node itself.
+    /// Returns the id of the node itself.
     pub fn own(&self) -> MemberId {
         self.own
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    /// At the first turn rounds begin, at a moment drawn for this node. At a turn that comes far too late, the
-    /// time that was missed is nobody's silence.
-    fn start_clocks(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Starts the timers at the first call, at random offsets. At a call that comes far too late, all
+    /// deadlines are extended by the time that was missed, so that it is not counted as silence of other
+    /// nodes.
+    fn adjust_timers(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(due) = self.wake() else {
             self.next_round = Some(now + self.rng.random_range(0..self.timing.round));
             self.next_sync = now + self.rng.random_range(0..self.timing.sync);
@@ -386,8 +408,8 @@
         self.probes.values_mut().for_each(|probe| probe.due += late);
         self.suspicions.values_mut().for_each(|suspicion| suspicion.due += late);
         self.peers.values_mut().for_each(|peer| {
-            peer.meeting = peer.meeting.map(|until| until + late);
-            peer.keep += late;
+            peer.connect_deadline = peer.connect_deadline.map(|until| until + late);
+            peer.keep_until += late;
         });
         self.next_round = Some(now + self.rng.random_range(0..self.timing.round));
         self.next_sync = now + self.rng.random_range(0..self.timing.sync);
@@ -395,43 +417,43 @@
         self.notice(now, Notice::Paused(late), out);
     }
 
-    fn due(&mut self, now: Micros, out: &mut Vec<Output>) {
-        self.due_probes(now, out);
-        self.due_suspicions(now, out);
+    fn run_due(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.expire_probes(now, out);
+        self.expire_suspicions(now, out);
         if self.next_round.is_some_and(|due| due <= now) {
             self.next_round = Some(now + self.timing.round);
-            self.spread.bury(now, self.timing.life);
+            self.store.drop_expired(now, self.timing.life);
             self.relays.retain(|_, relay| relay.until > now);
-            self.tend_links(now, out);
-            self.age_waiting(now, out);
+            self.maintain_links(now, out);
+            self.expire_queued(now, out);
             self.probe_next(now, out);
         }
         if self.next_retry <= now {
             self.next_retry = now + self.timing.retry;
-            self.try_gone(now, out);
+            self.retry_gone(now, out);
         }
         if self.next_sync <= now {
             self.next_sync = now + self.timing.sync;
-            self.compare(now, out);
+            self.start_sync(now, out);
         }
-        if self.next_gossip.is_some_and(|due| due <= now) && self.spread.is_hot() {
+        if self.next_gossip.is_some_and(|due| due <= now) && self.store.has_pending() {
             self.next_gossip = Some(now + self.timing.gossip);
-            self.pass_on(now, out);
+            self.send_gossip(now, out);
         }
     }
 
-    fn heard(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Output>) {
+    fn handle_message(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Vec<Output>) {
         if !self.peers.contains_key(&from) {
-            return self.stranger(now, from, out);
+            return self.report_stranger(now, from, out);
         }
         let message = (bytes.len() <= self.max_message).then(|| read(bytes)).flatten();
-        let believed = |header: &Header| u64::from(header.incarnation) <= MOST_INCARNATION;
-        let Some((header, body, news)) = message.filter(|(header, ..)| believed(header)) else {
+        let plausible = |header: &Header| u64::from(header.incarnation) <= MAX_INCARNATION;
+        let Some((header, body, updates)) = message.filter(|(header, ..)| plausible(header)) else {
             self.stats.unreadable += 1;
             self.notice(now, Notice::Unreadable(from), out);
             return;
         };
-        if header.from != from && !plant::is(Plant::Credulous) {
+        if header.from != from && !plant::active(Plant::AcceptsForgedSender) {
             self.stats.impostors += 1;
             self.notice(now, Notice::Impostor(from), out);
             return;
@@ -443,48 +465,49 @@
         let incarnation = u64::from(header.incarnation);
         if let Some(peer) = self.peers.get_mut(&from) {
             if crate::start_of(incarnation) < crate::start_of(peer.incarnation) {
-                // An earlier process, or a start whose clock went back: it is told what the fleet remembers.
+                // An earlier process, or one started with a clock that went back: it is told the incarnation
+                // that the fleet remembers.
                 self.stats.stale += 1;
-                self.tell(now, from, Body::News, out);
+                self.send(now, from, Body::Updates, out);
                 return;
             }
-            peer.avoid = 0;
+            peer.avoid_until = 0;
         }
-        self.claim(now, from, State::Alive, incarnation, from, out);
+        self.apply_claim(now, from, State::Alive, incarnation, from, out);
         let before = self.incarnation;
-        if let Some((state, held)) = header.you {
-            self.claim_of_own(now, state, held.into(), out);
+        if let Some((state, held)) = header.receiver {
+            self.apply_own_claim(now, state, held.into(), out);
         }
-        let filled = matches!(body, Body::Filled);
-        let mut mended = 0;
-        for one in news {
-            mended += u64::from(self.take(now, one, out) && filled);
+        let is_repair = matches!(body, Body::Repair);
+        let mut repaired = 0;
+        for update in updates {
+            repaired += u64::from(self.apply_update(now, update, out) && is_repair);
         }
-        if mended > 0 {
-            // There is probably more where that came from.
-            self.stats.mended += mended;
+        if repaired > 0 {
+            // The same member probably has more updates that this node lacks.
+            self.stats.repaired += repaired;
             if let Some(peer) = self.peers.get_mut(&from) {
-                peer.futile = 0;
+                peer.futile_syncs = 0;
             }
             self.next_sync = self.next_sync.min(now + self.timing.gossip);
         }
         if self.incarnation != before {
-            // Who holds something wrong of this node hears so first.
-            self.tell(now, from, Body::News, out);
+            // The node that holds an outdated state of this one is the first to be told.
+            self.send(now, from, Body::Updates, out);
         }
         match body {
-            Body::News | Body::Filled => {}
-            Body::Ping(sequence) => self.tell(now, from, Body::Ack(sequence), out),
-            Body::Ack(sequence) => self.acked(now, from, sequence, out),
-            Body::Ask(sequence, target) => self.asked(now, from, sequence, target, out),
-            Body::Relayed(sequence) => self.relayed(sequence),
+            Body::Updates | Body::Repair => {}
+            Body::Ping(sequence) => self.send(now, from, Body::Ack(sequence), out),
+            Body::Ack(sequence) => self.handle_ack(now, from, sequence, out),
+            Body::PingRequest(sequence, target) => self.handle_ping_request(now, from, sequence, target, out),
+            Body::RelayedAck(sequence) => self.probe_succeeded(sequence),
             Body::Digest(first, last, held, states) => {
-                self.compared(now, from, (first, last), &held, states, out);
+                self.handle_digest(now, from, (first, last), &held, states, out);
             }
-            Body::Want(keys) => self.fill(now, from, &keys, out),
-            Body::Bye => {
+            Body::Fetch(keys) => self.send_missing(now, from, &keys, out),
+            Body::Closing => {
                 if let Some(peer) = self.peers.get_mut(&from) {
-                    peer.parting = true;
+                    peer.closing = true;
                 }
             }
             Body::Direct(bytes) => out.push(Output::Direct { from, bytes: bytes.to_vec() }),
@@ -492,33 +515,33 @@
     }
 
     fn publish(&mut self, now: Micros, kind: Kind, bytes: Vec<u8>, out: &mut Vec<Output>) {
-        if bytes.len() > MOST_FACT_BYTES || !self.spread.has_room(self.own, kind) {
+        if bytes.len() > MAX_FACT_BYTES || !self.store.has_room(self.own, kind) {
             self.stats.facts_dropped += 1;
             self.notice(now, Notice::FactDropped(self.own), out);
             return;
         }
         point!(FLEET_PUBLISH);
         self.number += 1;
-        self.spread.set_fact(self.own, kind, (self.incarnation, self.number), now, bytes);
+        self.store.set_fact(self.own, kind, (self.incarnation, self.number), now, bytes);
     }
 
-    fn direct(&mut self, now: Micros, to: MemberId, bytes: Vec<u8>, out: &mut Vec<Output>) {
+    fn send_direct(&mut self, now: Micros, to: MemberId, bytes: Vec<u8>, out: &mut Vec<Output>) {
         let mut size = self.header(to);
         append(&mut size, &Body::Direct(&bytes));
-        let full = self.waiting.len() >= MOST_WAITING;
+        let full = self.queued_direct.len() >= MAX_QUEUED_DIRECT;
         if size.len() > self.max_message || !self.peers.contains_key(&to) {
             self.drop_direct(now, to, out);
-        } else if self.reaches(to) {
+        } else if self.can_reach(to) {
             if let Some(peer) = self.peers.get_mut(&to) {
-                // One that is of use is kept.
-                peer.keep = now + self.timing.meet;
+                // A connection that is in use is kept.
+                peer.keep_until = now + self.timing.meet;
             }
-            self.tell(now, to, Body::Direct(&bytes), out);
+            self.send(now, to, Body::Direct(&bytes), out);
         } else if full {
             self.drop_direct(now, to, out);
         } else {
-            self.waiting.push_back((now + self.timing.meet, to, bytes));
-            self.meet(now, to, out);
+            self.queued_direct.push_back((now + self.timing.meet, to, bytes));
+            self.connect_temporarily(now, to, out);
         }
     }
 
@@ -527,47 +550,47 @@
         self.notice(now, Notice::DirectDropped(to), out);
     }
 
-    fn age_waiting(&mut self, now: Micros, out: &mut Vec<Output>) {
-        while let Some((_, to, _)) = self.waiting.front().filter(|(until, ..)| *until <= now) {
+    fn expire_queued(&mut self, now: Micros, out: &mut Vec<Output>) {
+        while let Some((_, to, _)) = self.queued_direct.front().filter(|(until, ..)| *until <= now) {
             let to = *to;
-            self.waiting.pop_front();
+            self.queued_direct.pop_front();
             self.drop_direct(now, to, out);
         }
     }
 
     fn header(&self, to: MemberId) -> Vec<u8> {
         let peer = self.peers.get(&to).filter(|peer| peer.incarnation > 0);
-        let you = peer.map(|peer| (peer.state, peer.incarnation.into()));
+        let receiver = peer.map(|peer| (peer.state, peer.incarnation.into()));
         let mut bytes = Vec::with_capacity(self.max_message.min(512));
-        append(&mut bytes, &Header { from: self.own, incarnation: self.incarnation.into(), you });
+        append(&mut bytes, &Header { from: self.own, incarnation: self.incarnation.into(), receiver });
         bytes
     }
 
-    /// Whether the member can be told something now.
-    fn reaches(&self, to: MemberId) -> bool {
+    /// Returns whether a message can be sent to the member now.
+    fn can_reach(&self, to: MemberId) -> bool {
         self.peers.get(&to).is_some_and(|peer| self.carrier == Carrier::Notes || peer.linked)
     }
 
-    /// A message, with as much news as fits beside what it is for.
-    fn tell(&mut self, now: Micros, to: MemberId, body: Body<'_>, out: &mut Vec<Output>) {
-        if !self.reaches(to) {
+    /// Sends a message, filled up with as many pending updates as fit.
+    fn send(&mut self, now: Micros, to: MemberId, body: Body<'_>, out: &mut Vec<Output>) {
+        if !self.can_reach(to) {
             return;
         }
         let mut bytes = self.header(to);
         append(&mut bytes, &body);
-        self.spread.add_news(now, self.timing.life, &mut bytes, self.max_message);
-        self.give_out(to, bytes, out);
+        self.store.add_pending(now, self.timing.life, &mut bytes, self.max_message);
+        self.emit(to, bytes, out);
     }
 
-    fn give_out(&mut self, to: MemberId, bytes: Vec<u8>, out: &mut Vec<Output>) {
+    fn emit(&mut self, to: MemberId, bytes: Vec<u8>, out: &mut Vec<Output>) {
         point!(FLEET_SEND);
         self.stats.told += 1;
         self.stats.told_bytes += bytes.len() as u64;
         out.push(Output::Tell { to, bytes });
     }
 
-    /// A word of somebody who is no member, or about him.
-    fn stranger(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
+    /// Records a message of, or about, a process that is not a member.
+    fn report_stranger(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         self.lists_differ = true;
         self.stats.strangers += 1;
         self.notice(now, Notice::Stranger(id), out);
@@ -584,8 +607,8 @@
             Notice::FactDropped(_) => 6,
             Notice::MembersRefused(_) => 7,
         };
-        if self.noticed.get(&sort).is_none_or(|last| now - last >= self.timing.notice) {
-            self.noticed.insert(sort, now);
+        if self.last_notices.get(&sort).is_none_or(|last| now - last >= self.timing.notice) {
+            self.last_notices.insert(sort, now);
             out.push(Output::Notice(notice));
         }
     }
--- a/crates/lemoncleat-fleet/src/fleet/links.rs
+++ b/crates/lemoncleat-fleet/src/fleet/links.rs
@@ -1,135 +1,136 @@
-//! Which few connections a node seeks, keeps and ends.
+//! Selects the few connections that a node requests, keeps and ends.
 
 use super::{Fleet, Output};
 use crate::message::Body;
 use crate::{Carrier, MemberId, Micros, State};
 
-/// How many times the wait for a connection a member is passed over that could not be connected to.
-const PASSED_OVER: Micros = 4;
+/// After a failed connect, a member is avoided for this many connect timeouts.
+const AVOID_FACTOR: Micros = 4;
 
-/// Several orders of all members. The next after a node in each are those that it seeks; together they make a
-/// graph in which every two nodes are a few steps apart.
+/// Returns several orders of all members. A node connects to the member after itself in each order; together
+/// these connections form a graph in which any two nodes are a few hops apart.
 pub(super) fn rings(members: Vec<MemberId>, count: usize) -> Vec<Vec<MemberId>> {
     let ring = |salt: usize| {
         let mut ring = members.clone();
-        let place = |id: &MemberId| {
+        let sort_key = |id: &MemberId| {
             // The finalizer of SplitMix64.
             let mut z = (u64::from(id.0) << 32 | salt as u64).wrapping_add(0x9e37_79b9_7f4a_7c15);
             z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
             z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
             (z ^ (z >> 31), *id)
         };
-        ring.sort_by_key(place);
+        ring.sort_by_key(sort_key);
         ring
     };
     (0..count.min(members.len().saturating_sub(1))).map(ring).collect()
 }
 
 impl Fleet {
-    /// The few: in each order the next member that is there, or that was never heard of and not tried lately.
-    fn sought(&self, now: Micros) -> Vec<MemberId> {
-        let mut sought = Vec::new();
+    /// Returns the desired connections: in each order the next member that is not gone, or that was never
+    /// heard from and has not been tried recently.
+    fn desired_links(&self, now: Micros) -> Vec<MemberId> {
+        let mut desired = Vec::new();
         for ring in &self.rings {
             let Some(at) = ring.iter().position(|id| *id == self.own) else { continue };
             let after = ring.iter().skip(at + 1).chain(ring.iter().take(at));
-            let hopeful = |id: &&MemberId| {
+            let eligible = |id: &&MemberId| {
                 self.peers.get(*id).is_some_and(|peer| {
-                    let there = peer.state != State::Gone || peer.incarnation == 0;
-                    there && (peer.linked || peer.avoid <= now) && !sought.contains(*id)
+                    let present = peer.state != State::Gone || peer.incarnation == 0;
+                    present && (peer.linked || peer.avoid_until <= now) && !desired.contains(*id)
                 })
             };
-            if let Some(next) = after.clone().find(hopeful) {
-                sought.push(*next);
+            if let Some(next) = after.clone().find(eligible) {
+                desired.push(*next);
             }
         }
-        sought
+        desired
     }
 
-    pub(super) fn tend_links(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub(super) fn maintain_links(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.carrier == Carrier::Notes {
             return;
         }
-        let mut unreached = Vec::new();
+        let mut failed = Vec::new();
         for (id, peer) in &mut self.peers {
-            if peer.meeting.is_some_and(|until| until <= now) {
-                (peer.meeting, peer.sought) = (None, false);
-                peer.avoid = now + self.timing.meet * PASSED_OVER;
+            if peer.connect_deadline.is_some_and(|until| until <= now) {
+                (peer.connect_deadline, peer.initiated) = (None, false);
+                peer.avoid_until = now + self.timing.meet * AVOID_FACTOR;
                 if peer.state == State::Alive {
-                    unreached.push(*id);
+                    failed.push(*id);
                 }
             }
         }
-        for id in unreached {
+        for id in failed {
             self.probe(now, id, out);
         }
-        let sought = self.sought(now);
-        for id in &sought {
-            if !self.reaches(*id) {
+        let desired = self.desired_links(now);
+        for id in &desired {
+            if !self.can_reach(*id) {
                 self.connect(now, *id, out);
             }
         }
-        let idle = self
-            .peers
-            .iter()
-            .filter(|(id, peer)| peer.linked && peer.sought && peer.keep <= now && !sought.contains(id));
+        let idle = self.peers.iter().filter(|(id, peer)| {
+            peer.linked && peer.initiated && peer.keep_until <= now && !desired.contains(id)
+        });
         for id in idle.map(|(id, _)| *id).collect::<Vec<_>>() {
-            self.tell(now, id, Body::Bye, out);
+            self.send(now, id, Body::Closing, out);
             if let Some(peer) = self.peers.get_mut(&id) {
-                // Linked until it is said not to be: where the member has made the connection, it may stay.
-                (peer.parting, peer.sought) = (true, false);
+                // Still linked until the transport reports the end: a connection that the member initiated
+                // may stay.
+                (peer.closing, peer.initiated) = (true, false);
             }
             out.push(Output::Part(id));
         }
     }
 
-    /// Seeks a connection for a word, and keeps one for some time.
-    pub(super) fn meet(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
+    /// Requests a connection for a message, and keeps an existing one for some time.
+    pub(super) fn connect_temporarily(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         if let Some(peer) = self.peers.get_mut(&id) {
-            peer.keep = now + self.timing.meet;
+            peer.keep_until = now + self.timing.meet;
             self.connect(now, id, out);
         }
     }
 
     fn connect(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        if self.carrier == Carrier::Notes || peer.linked || peer.meeting.is_some() {
+        if self.carrier == Carrier::Notes || peer.linked || peer.connect_deadline.is_some() {
             return;
         }
-        (peer.meeting, peer.sought) = (Some(now + self.timing.meet), true);
-        self.stats.meets += 1;
+        (peer.connect_deadline, peer.initiated) = (Some(now + self.timing.meet), true);
+        self.stats.connects_requested += 1;
         out.push(Output::Meet(id));
     }
 
-    pub(super) fn linked(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
+    pub(super) fn handle_linked(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         let Some(peer) = self.peers.get_mut(&id) else {
             self.stats.strangers += 1;
             return;
         };
-        (peer.linked, peer.parting, peer.meeting, peer.avoid) = (true, false, None, 0);
-        // A first word, so that both know who is there.
+        (peer.linked, peer.closing, peer.connect_deadline, peer.avoid_until) = (true, false, None, 0);
+        // The first message, so that both sides know each other's incarnation.
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = self.sequence;
-        self.tell(now, id, Body::Ping(sequence), out);
-        self.relay_to(now, id, out);
-        let mut waiting = std::mem::take(&mut self.waiting);
-        waiting.retain(|(_, to, bytes)| {
+        self.send(now, id, Body::Ping(sequence), out);
+        self.send_relayed_pings(now, id, out);
+        let mut queued_direct = std::mem::take(&mut self.queued_direct);
+        queued_direct.retain(|(_, to, bytes)| {
             if *to == id {
-                self.tell(now, id, Body::Direct(bytes), out);
+                self.send(now, id, Body::Direct(bytes), out);
             }
             *to != id
         });
-        self.waiting = waiting;
+        self.queued_direct = queued_direct;
     }
 
-    /// A connection that ends without a word is a bad sign: others are asked at once.
-    pub(super) fn unlinked(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
+    /// A connection that ends without an announcement is a sign of failure: the member is probed at once.
+    pub(super) fn handle_unlinked(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
         if !std::mem::replace(&mut peer.linked, false) {
             return;
         }
-        let parting = std::mem::replace(&mut peer.parting, false);
-        peer.sought = false;
-        if !parting && peer.state == State::Alive {
+        let closing = std::mem::replace(&mut peer.closing, false);
+        peer.initiated = false;
+        if !closing && peer.state == State::Alive {
             self.probe(now, id, out);
         }
     }
--- a/crates/lemoncleat-fleet/src/fleet/membership.rs
+++ b/crates/lemoncleat-fleet/src/fleet/membership.rs
@@ -1,23 +1,24 @@
-//! The list of members changes while the node runs.
+//! Changes of the list of members while the node runs.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use super::{links, Fleet, Notice, Output, Peer};
 use crate::message::Body;
-use crate::settings::{by_id, usual_links};
+use crate::settings::{by_id, default_links};
 use crate::{Carrier, Member, MemberId, Micros, SettingsError};
 
-/// Most comparisons with one member that are hurried in a row because its states differ, while they bring nothing and
-/// the two may hold different lists of members.
-pub(super) const MOST_FUTILE: u32 = 16;
+/// Maximum number of consecutive early comparisons with one member because its states differ, while they
+/// repair nothing and the two nodes may hold different lists of members.
+pub(super) const MAX_FUTILE_SYNCS: u32 = 16;
 
 impl Fleet {
-    /// Whether [`Input::Members`](crate::Input::Members) would take this list.
+    /// Checks whether [`Input::Members`](crate::Input::Members) would accept this list.
     ///
     /// # Errors
     ///
-    /// When it has more than 1,024 members, two of one digest, or lacks the node itself.
+    /// Returns an error if the list has more than 1,024 members, has two with the same digest, or lacks the
+    /// node itself.
     pub fn check_members(&self, members: &[Member]) -> Result<(), SettingsError> {
         by_id(&self.member.name, members).map(drop)
     }
@@ -27,48 +28,48 @@
         let Ok(mut by_id) = by_id(&own, &members) else {
             return self.notice(now, Notice::MembersRefused(members.len()), out);
         };
-        // One of another name under the same digest is another member.
+        // A different name under the same digest is a different member.
         let stays = |id: &MemberId, peer: &Peer| by_id.get(id).is_some_and(|it| it.name == peer.member.name);
-        let went = self.peers.iter().filter(|(id, peer)| !stays(id, peer)).map(|(id, _)| *id);
-        let went: BTreeSet<MemberId> = went.collect();
-        for id in &went {
+        let removed = self.peers.iter().filter(|(id, peer)| !stays(id, peer)).map(|(id, _)| *id);
+        let removed: BTreeSet<MemberId> = removed.collect();
+        for id in &removed {
             self.forget(now, *id, out);
         }
-        self.probes.retain(|_, probe| !went.contains(&probe.target));
-        self.relays.retain(|_, relay| !relay.is_of(&went));
-        self.suspicions.retain(|id, _| !went.contains(id));
-        self.waiting.retain(|(_, to, _)| !went.contains(to));
-        self.sync_with = self.sync_with.filter(|id| !went.contains(id));
+        self.probes.retain(|_, probe| !removed.contains(&probe.target));
+        self.relays.retain(|_, relay| !relay.concerns(&removed));
+        self.suspicions.retain(|id, _| !removed.contains(id));
+        self.queued_direct.retain(|(_, to, _)| !removed.contains(to));
+        self.next_sync_peer = self.next_sync_peer.filter(|id| !removed.contains(id));
 
-        let (before, after) = (self.peers.len() + went.len() + 1, by_id.len());
-        if self.links == usual_links(before) {
-            self.links = usual_links(after);
+        let (before, after) = (self.peers.len() + removed.len() + 1, by_id.len());
+        if self.links == default_links(before) {
+            self.links = default_links(after);
         }
         self.rings = links::rings(by_id.keys().copied().collect(), self.links);
-        self.order.clear();
+        self.probe_order.clear();
         self.lists_differ = true;
-        self.spread.resize(after);
+        self.store.resize(after);
         if let Some(member) = by_id.remove(&self.own) {
             self.member = member;
         }
         for (id, member) in by_id {
             match self.peers.get_mut(&id) {
-                Some(peer) => (peer.member, peer.futile) = (member, 0),
-                None => drop(self.peers.insert(id, Peer::unheard(member))),
+                Some(peer) => (peer.member, peer.futile_syncs) = (member, 0),
+                None => drop(self.peers.insert(id, Peer::never_heard(member))),
             }
         }
     }
 
-    /// One that is no member any more: a last word that the end of the connection is no bad sign, and nothing is held
-    /// of it.
+    /// Forgets a member that was removed from the list. It is told first that the connection ends, so that it
+    /// does not take the end for a failure.
     fn forget(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
-        if self.carrier == Carrier::Connections && self.reaches(id) {
-            self.tell(now, id, Body::Bye, out);
+        if self.carrier == Carrier::Connections && self.can_reach(id) {
+            self.send(now, id, Body::Closing, out);
         }
         let peer = self.peers.remove(&id);
-        if peer.is_some_and(|peer| peer.linked || peer.meeting.is_some()) {
+        if peer.is_some_and(|peer| peer.linked || peer.connect_deadline.is_some()) {
             out.push(Output::Part(id));
         }
-        self.spread.forget(id);
+        self.store.forget(id);
     }
 }
--- a/crates/lemoncleat-fleet/src/fleet/probes.rs
+++ b/crates/lemoncleat-fleet/src/fleet/probes.rs
@@ -1,4 +1,4 @@
-//! Probes, suspicions, and whom news is passed on to.
+//! Probes, suspicions, and the selection of gossip targets.
 
 use std::collections::BTreeSet;
 
@@ -9,55 +9,56 @@
 use crate::message::Body;
 use crate::{Carrier, MemberId, Micros, State};
 
-/// How many are asked to probe in this node's stead.
-const HELPERS: usize = 3;
-/// How many are told news at a time.
-const FANOUT: usize = 3;
-/// Most probes at a time, own ones and those for others.
-const MOST_PROBES: usize = 32;
-/// Accusers after whom a suspicion is not shortened further.
-const ENOUGH_ACCUSERS: usize = 3;
-/// How much longer a suspicion by one node alone stands than one by several.
-const ALONE: Micros = 3;
-/// Most that a node which seems to be the cause itself stretches its probes by.
-const MOST_UNWELL: u32 = 7;
+/// How many members are asked to probe on behalf of this node.
+const INDIRECT_PROBES: usize = 3;
+/// How many members receive each gossip message.
+const GOSSIP_FANOUT: usize = 3;
+/// Maximum number of concurrent probes, separately for own ones and for those on behalf of others.
+const MAX_PROBES: usize = 32;
+/// Number of accusers from which on a suspicion is not shortened further.
+const CONFIRMING_ACCUSERS: usize = 3;
+/// How many times longer a suspicion by a single node lasts than one confirmed by several.
+const SOLE_ACCUSER_FACTOR: Micros = 3;
+/// Limit of the factor by which a node stretches its probes when it seems to be the cause of their failure
+/// itself.
+const MAX_LOCAL_HEALTH: u32 = 7;
 
 pub(super) struct Probe {
     pub target: MemberId,
     pub due: Micros,
-    /// Others have been asked.
-    asked: bool,
+    /// Other members have been asked to probe.
+    indirect: bool,
 }
 
-/// A probe for another.
+/// A probe on behalf of another member.
 pub(super) struct Relay {
     asker: MemberId,
-    /// The asker's number for it.
+    /// The asker's sequence number for the probe.
     sequence: u32,
     target: MemberId,
     pub until: Micros,
 }
 
 impl Relay {
-    /// Whether it is asked for by one of these, or about one.
-    pub fn is_of(&self, members: &BTreeSet<MemberId>) -> bool {
+    /// Returns whether one of these members asked for the probe, or is its target.
+    pub fn concerns(&self, members: &BTreeSet<MemberId>) -> bool {
         members.contains(&self.asker) || members.contains(&self.target)
     }
 }
 
 pub(super) struct Suspicion {
-    began: Micros,
+    started_at: Micros,
     pub due: Micros,
     accusers: Vec<MemberId>,
 }
 
 impl Fleet {
-    fn patience(&self) -> Micros {
-        Micros::from(1 + self.unwell)
+    fn timeout_factor(&self) -> Micros {
+        Micros::from(1 + self.local_health)
     }
 
-    /// Members that can be told something and are not held to be gone.
-    fn in_reach(&self) -> Vec<MemberId> {
+    /// Returns the members that messages can be sent to and that are not held to be gone.
+    fn reachable_members(&self) -> Vec<MemberId> {
         let peers = self
             .peers
             .iter()
@@ -65,109 +66,111 @@
         peers.map(|(id, _)| *id).collect()
     }
 
-    /// Some of them, drawn.
-    pub(super) fn some_members(&mut self, count: usize) -> Vec<MemberId> {
-        let mut all = self.in_reach();
+    /// Returns some of the reachable members, chosen at random.
+    pub(super) fn random_members(&mut self, count: usize) -> Vec<MemberId> {
+        let mut all = self.reachable_members();
         all.partial_shuffle(&mut self.rng, count).0.to_vec()
     }
 
-    pub(super) fn pass_on(&mut self, now: Micros, out: &mut Vec<Output>) {
-        for to in self.some_members(FANOUT) {
-            if self.spread.is_hot() {
-                self.tell(now, to, Body::News, out);
+    pub(super) fn send_gossip(&mut self, now: Micros, out: &mut Vec<Output>) {
+        for to in self.random_members(GOSSIP_FANOUT) {
+            if self.store.has_pending() {
+                self.send(now, to, Body::Updates, out);
             }
         }
     }
 
-    /// Probes the next member: all in reach in an order drawn anew each time, so that each has its turn.
-    /// One that this node itself accused is tried besides, so that it hears of that and can refute it.
+    /// Probes the next member: all reachable ones in an order that is shuffled for each pass, so that each is
+    /// probed once per pass. A member that this node itself accused is probed in addition, so that it learns
+    /// of the suspicion and can refute it.
     pub(super) fn probe_next(&mut self, now: Micros, out: &mut Vec<Output>) {
         let accused = |(_, suspicion): &(&MemberId, &Suspicion)| suspicion.accusers.contains(&self.own);
         let suspects: Vec<MemberId> = self.suspicions.iter().filter(accused).map(|(id, _)| *id).collect();
         if let Some(suspect) = suspects.choose(&mut self.rng) {
             self.probe(now, *suspect, out);
         }
-        for fresh in [false, true] {
-            if fresh {
-                self.order = self.in_reach();
-                self.order.shuffle(&mut self.rng);
+        for reshuffle in [false, true] {
+            if reshuffle {
+                self.probe_order = self.reachable_members();
+                self.probe_order.shuffle(&mut self.rng);
             }
-            while let Some(target) = self.order.pop() {
+            while let Some(target) = self.probe_order.pop() {
                 let fits = self.peers.get(&target).is_some_and(|peer| peer.state != State::Gone);
-                if fits && self.reaches(target) {
+                if fits && self.can_reach(target) {
                     return self.probe(now, target, out);
                 }
             }
         }
     }
 
-    /// Probes a member directly, or through others where it is not in reach.
+    /// Probes a member directly, or through others if it is not reachable.
     pub(super) fn probe(&mut self, now: Micros, target: MemberId, out: &mut Vec<Output>) {
-        let under_way = self.probes.values().any(|probe| probe.target == target);
-        if under_way || self.probes.len() >= MOST_PROBES {
+        let in_progress = self.probes.values().any(|probe| probe.target == target);
+        if in_progress || self.probes.len() >= MAX_PROBES {
             return;
         }
         self.stats.probes += 1;
         self.sequence = self.sequence.wrapping_add(1);
         let sequence = self.sequence;
-        let direct = self.reaches(target);
-        let due = now + if direct { self.timing.answer * self.patience() } else { 0 };
-        self.probes.insert(sequence, Probe { target, due, asked: false });
-        self.tell(now, target, Body::Ping(sequence), out);
+        let direct = self.can_reach(target);
+        let due = now + if direct { self.timing.answer * self.timeout_factor() } else { 0 };
+        self.probes.insert(sequence, Probe { target, due, indirect: false });
+        self.send(now, target, Body::Ping(sequence), out);
     }
 
-    pub(super) fn due_probes(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub(super) fn expire_probes(&mut self, now: Micros, out: &mut Vec<Output>) {
         let due: Vec<u32> =
             self.probes.iter().filter(|(_, probe)| probe.due <= now).map(|(sequence, _)| *sequence).collect();
         for sequence in due {
-            let rest = (self.timing.round - self.timing.answer).max(self.timing.answer) * self.patience();
+            let remaining =
+                (self.timing.round - self.timing.answer).max(self.timing.answer) * self.timeout_factor();
             let Some(probe) = self.probes.get_mut(&sequence) else { continue };
             let target = probe.target;
-            if probe.asked {
+            if probe.indirect {
                 self.probes.remove(&sequence);
-                self.unanswered(now, target, out);
+                self.probe_failed(now, target, out);
                 continue;
             }
-            (probe.asked, probe.due) = (true, now + rest);
-            let mut helpers = self.some_members(HELPERS + 1);
+            (probe.indirect, probe.due) = (true, now + remaining);
+            let mut helpers = self.random_members(INDIRECT_PROBES + 1);
             helpers.retain(|helper| *helper != target);
-            for helper in helpers.into_iter().take(HELPERS) {
-                self.tell(now, helper, Body::Ask(sequence, target), out);
+            for helper in helpers.into_iter().take(INDIRECT_PROBES) {
+                self.send(now, helper, Body::PingRequest(sequence, target), out);
             }
-            // The first may only have been lost.
-            self.tell(now, target, Body::Ping(sequence), out);
+            // The first ping may just have been lost.
+            self.send(now, target, Body::Ping(sequence), out);
         }
     }
 
-    fn unanswered(&mut self, now: Micros, target: MemberId, out: &mut Vec<Output>) {
-        self.unwell = (self.unwell + 1).min(MOST_UNWELL);
+    fn probe_failed(&mut self, now: Micros, target: MemberId, out: &mut Vec<Output>) {
+        self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
         let Some(peer) = self.peers.get(&target) else { return };
         if peer.state == State::Gone {
             return;
         }
         let incarnation = peer.incarnation;
         self.stats.suspicions += 1;
-        self.claim(now, target, State::Suspect, incarnation, self.own, out);
+        self.apply_claim(now, target, State::Suspect, incarnation, self.own, out);
     }
 
-    pub(super) fn acked(&mut self, now: Micros, from: MemberId, sequence: u32, out: &mut Vec<Output>) {
+    pub(super) fn handle_ack(&mut self, now: Micros, from: MemberId, sequence: u32, out: &mut Vec<Output>) {
         if let Some(relay) = self.relays.get(&sequence).filter(|relay| relay.target == from) {
-            let (asker, asked) = (relay.asker, relay.sequence);
+            let (asker, asker_sequence) = (relay.asker, relay.sequence);
             self.relays.remove(&sequence);
-            self.tell(now, asker, Body::Relayed(asked), out);
+            self.send(now, asker, Body::RelayedAck(asker_sequence), out);
         } else if self.probes.get(&sequence).is_some_and(|probe| probe.target == from) {
-            self.relayed(sequence);
+            self.probe_succeeded(sequence);
         }
     }
 
-    pub(super) fn relayed(&mut self, sequence: u32) {
+    pub(super) fn probe_succeeded(&mut self, sequence: u32) {
         if self.probes.remove(&sequence).is_some() {
-            self.unwell = self.unwell.saturating_sub(1);
+            self.local_health = self.local_health.saturating_sub(1);
         }
     }
 
-    /// Another asks for a probe in its stead.
-    pub(super) fn asked(
+    /// Handles a request to probe a member on behalf of another.
+    pub(super) fn handle_ping_request(
         &mut self,
         now: Micros,
         asker: MemberId,
@@ -175,22 +178,22 @@
         target: MemberId,
         out: &mut Vec<Output>,
     ) {
-        if self.relays.len() >= MOST_PROBES || !self.peers.contains_key(&target) {
+        if self.relays.len() >= MAX_PROBES || !self.peers.contains_key(&target) {
             return;
         }
         self.sequence = self.sequence.wrapping_add(1);
         let own = self.sequence;
         let until = now + self.timing.meet;
         self.relays.insert(own, Relay { asker, sequence, target, until });
-        if self.reaches(target) {
-            self.tell(now, target, Body::Ping(own), out);
+        if self.can_reach(target) {
+            self.send(now, target, Body::Ping(own), out);
         } else {
-            self.meet(now, target, out);
+            self.connect_temporarily(now, target, out);
         }
     }
 
-    /// The probes for others that a connection was needed for.
-    pub(super) fn relay_to(&mut self, now: Micros, target: MemberId, out: &mut Vec<Output>) {
+    /// Sends the probes on behalf of others that were waiting for a connection.
+    pub(super) fn send_relayed_pings(&mut self, now: Micros, target: MemberId, out: &mut Vec<Output>) {
         let due: Vec<u32> = self
             .relays
             .iter()
@@ -198,77 +201,78 @@
             .map(|(sequence, _)| *sequence)
             .collect();
         for sequence in due {
-            self.tell(now, target, Body::Ping(sequence), out);
+            self.send(now, target, Body::Ping(sequence), out);
         }
     }
 
-    /// How long a suspicion stands by so many accusers.
-    fn stands(&self, accusers: usize) -> Micros {
+    /// Returns how long a suspicion by this many accusers lasts.
+    fn suspicion_span(&self, accusers: usize) -> Micros {
         let members = self.peers.len() + 1;
         let size = (members as f64).log10().max(1.0);
-        let least = (self.timing.suspect as f64 * size) as Micros;
-        let enough = ENOUGH_ACCUSERS.min(members.saturating_sub(2));
+        let min_span = (self.timing.suspect as f64 * size) as Micros;
+        let enough = CONFIRMING_ACCUSERS.min(members.saturating_sub(2));
         if accusers >= enough {
-            return least;
+            return min_span;
         }
-        let most = least * ALONE;
-        most - (most - least) * accusers.saturating_sub(1) as Micros
-            / enough.saturating_sub(1).max(1) as Micros
+        let max_span = min_span * SOLE_ACCUSER_FACTOR;
+        max_span
+            - (max_span - min_span) * accusers.saturating_sub(1) as Micros
+                / enough.saturating_sub(1).max(1) as Micros
     }
 
-    pub(super) fn suspect(&mut self, now: Micros, id: MemberId, by: MemberId) {
-        let due = now + self.stands(1);
-        self.suspicions.insert(id, Suspicion { began: now, due, accusers: vec![by] });
+    pub(super) fn start_suspicion(&mut self, now: Micros, id: MemberId, accuser: MemberId) {
+        let due = now + self.suspicion_span(1);
+        self.suspicions.insert(id, Suspicion { started_at: now, due, accusers: vec![accuser] });
     }
 
-    /// One more says so: the suspicion is shortened, and passed on as news.
-    pub(super) fn accuse(&mut self, id: MemberId, by: MemberId) {
+    /// Adds an accuser: the suspicion is shortened, and sent on as an update.
+    pub(super) fn add_accuser(&mut self, id: MemberId, accuser: MemberId) {
         let Some(suspicion) = self.suspicions.get_mut(&id) else { return };
-        if suspicion.accusers.len() >= ENOUGH_ACCUSERS || suspicion.accusers.contains(&by) {
+        if suspicion.accusers.len() >= CONFIRMING_ACCUSERS || suspicion.accusers.contains(&accuser) {
             return;
         }
-        suspicion.accusers.push(by);
-        let (began, accusers) = (suspicion.began, suspicion.accusers.len());
-        let due = began + self.stands(accusers);
+        suspicion.accusers.push(accuser);
+        let (started_at, accusers) = (suspicion.started_at, suspicion.accusers.len());
+        let due = started_at + self.suspicion_span(accusers);
         if let Some(suspicion) = self.suspicions.get_mut(&id) {
             suspicion.due = suspicion.due.min(due);
         }
         if let Some(peer) = self.peers.get(&id) {
-            self.spread.set_state(id, State::Suspect, peer.incarnation, by);
+            self.store.set_state(id, State::Suspect, peer.incarnation, accuser);
         }
     }
 
-    pub(super) fn due_suspicions(&mut self, now: Micros, out: &mut Vec<Output>) {
+    pub(super) fn expire_suspicions(&mut self, now: Micros, out: &mut Vec<Output>) {
         let due: Vec<MemberId> =
             self.suspicions.iter().filter(|(_, suspicion)| suspicion.due <= now).map(|(id, _)| *id).collect();
         for id in due {
             self.suspicions.remove(&id);
             if let Some(peer) = self.peers.get(&id) {
                 let incarnation = peer.incarnation;
-                self.claim(now, id, State::Gone, incarnation, self.own, out);
+                self.apply_claim(now, id, State::Gone, incarnation, self.own, out);
             }
         }
     }
 
-    /// Tries to reach a member that is held to be gone. The fleet as a whole tries each about as often, however
-    /// many nodes it has: with one gone and 300 there, a node tries once in 300 times.
-    pub(super) fn try_gone(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Tries to reach a member that is held to be gone. The fleet as a whole tries each at about the same
+    /// rate, however many nodes it has: with one gone and 300 present, a node tries once in 300 intervals.
+    pub(super) fn retry_gone(&mut self, now: Micros, out: &mut Vec<Output>) {
         let gone: Vec<MemberId> =
             self.peers.iter().filter(|(_, peer)| peer.state == State::Gone).map(|(id, _)| *id).collect();
-        let there = self.peers.len() + 1 - gone.len();
-        if there < gone.len() {
+        let present = self.peers.len() + 1 - gone.len();
+        if present < gone.len() {
             self.next_retry = now + self.timing.round / 2;
         }
         let Some(target) = gone.choose(&mut self.rng).copied() else { return };
-        if self.rng.random_range(0..there) > gone.len() {
+        if self.rng.random_range(0..present) > gone.len() {
             return;
         }
-        if self.reaches(target) {
+        if self.can_reach(target) {
             self.sequence = self.sequence.wrapping_add(1);
             let sequence = self.sequence;
-            self.tell(now, target, Body::Ping(sequence), out);
+            self.send(now, target, Body::Ping(sequence), out);
         } else {
-            self.meet(now, target, out);
+            self.connect_temporarily(now, target, out);
         }
     }
 }
--- a/crates/lemoncleat-fleet/src/lib.rs
+++ b/crates/lemoncleat-fleet/src/lib.rs
@@ -1,16 +1,18 @@
-//! Who is there in a fleet of nodes, and small facts that all of them come to know, without I/O.
+//! Membership of a fleet of nodes, and dissemination of small facts to all of them, without I/O.
 //!
-//! Members are named in settings; that one is alive is believed by evidence. Each node probes another now and
-//! then, asks third ones to try when it gets no answer, and tells all of a suspicion, which the suspected one
-//! may refute by a higher incarnation (SWIM, Das, Gupta and Motivala, DSN 2002; the waits after Lifeguard,
-//! Dadgar, Phillips and Currey, DSN-W 2018). What is news rides on the probes and on a few messages besides,
-//! and is compared now and then, so that it arrives even where all of those were lost.
+//! The members are named in the settings; whether one is alive is inferred from evidence. Each node
+//! periodically probes another one, asks third nodes to probe it when it gets no answer, and reports a
+//! suspicion to all, which the suspected member may refute with a higher incarnation (SWIM: Das, Gupta and
+//! Motivala, DSN 2002; the timeouts follow Lifeguard: Dadgar, Phillips and Currey, DSN-W 2018). Updates are
+//! piggybacked on the probes and sent in a few additional messages, and nodes compare their states
+//! periodically, so that updates arrive even where all of those messages were lost.
 //!
-//! - [`Fleet`]: one node's view. It is told what was heard and what time it is, and says what to send.
-//! - [`Settings`] and [`Timing`]: the members, and how patient a node is.
-//! - [`Fact`]: what a node has set out about itself, with its age.
+//! - [`Fleet`]: one node's view. It takes received messages and the current time, and returns what to send.
+//! - [`Settings`] and [`Timing`]: the members, and the intervals and timeouts of a node.
+//! - [`Fact`]: a value that a node has published about itself, with its age.
 //!
-//! Nothing here forbids anything: a node whose fleet is away sees members that are gone, and no facts.
+//! This package does not restrict what a node may do: a node that is cut off from its fleet sees members that
+//! are gone, and no facts.
 
 mod fleet;
 mod message;
@@ -23,11 +25,11 @@
 pub use plant::{plant, Plant};
 pub use settings::{Carrier, Member, MemberId, Settings, SettingsError, Timing};
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
-/// The start that is part of an incarnation: two incarnations with one start are of one process, which refuted a
-/// suspicion between them.
+/// Returns the start that is part of an incarnation. Two incarnations with the same start belong to one
+/// process, which refuted a suspicion between them.
 pub fn start_of(incarnation: u64) -> u32 {
     (incarnation >> 32) as u32
 }
--- a/crates/lemoncleat-fleet/src/plant.rs
+++ b/crates/lemoncleat-fleet/src/plant.rs
@@ -1,19 +1,19 @@
-//! Mistakes that tests put into the core, to show that their checks find them.
+//! Faults that tests inject into the core, to show that their checks detect them.
 
-/// A mistake.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
 pub enum Plant {
-    /// A fact is taken whatever its version.
+    /// A fact is accepted whatever its version.
     OlderFact,
-    /// A fact's age starts anew at each member.
+    /// The age of a fact restarts at 0 on each member.
     YoungAgain,
     /// A suspicion of the node itself is not refuted.
     Silent,
-    /// A message is heard whoever it says it is from.
-    Credulous,
-    /// The limit of a message is not looked at.
-    Overfull,
+    /// A message is accepted whatever sender it names.
+    AcceptsForgedSender,
+    /// The size limit of messages is not enforced.
+    IgnoresMessageLimit,
 }
 
 #[cfg(feature = "faults")]
@@ -21,7 +21,7 @@
     static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
 }
 
-/// Puts a mistake into all fleets of this thread, or takes it out.
+/// Injects a fault into all fleets of this thread, or removes it.
 #[cfg(feature = "faults")]
 #[doc(hidden)]
 pub fn plant(plant: Option<Plant>) {
@@ -29,11 +29,11 @@
 }
 
 #[cfg(feature = "faults")]
-pub(crate) fn is(plant: Plant) -> bool {
+pub(crate) fn active(plant: Plant) -> bool {
     PLANTED.get() == Some(plant)
 }
 
 #[cfg(not(feature = "faults"))]
-pub(crate) const fn is(_: Plant) -> bool {
+pub(crate) const fn active(_: Plant) -> bool {
     false
 }
--- a/crates/lemoncleat-fleet/src/settings.rs
+++ b/crates/lemoncleat-fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! The members, and how patient a node is.
+//! Settings: the members, and the intervals and timeouts of a node.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,17 +8,17 @@
 
 use crate::Micros;
 
-/// Most members of a fleet.
-const MOST_MEMBERS: usize = 1_024;
-/// Smallest limit of a message: a note of the platform.
-const LEAST_MESSAGE: usize = 256;
+/// Largest number of members of a fleet.
+const MAX_MEMBERS: usize = 1_024;
+/// Smallest permitted message limit, which is the limit of a platform note.
+const MIN_MESSAGE_BYTES: usize = 256;
 
-/// A member, by a digest of its name.
+/// Identifies a member by a digest of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u32);
 
 impl MemberId {
-    /// The digest of a name: FNV-1a, 32 bits.
+    /// Returns the digest of a name: FNV-1a, 32 bits.
     pub fn of(name: &str) -> MemberId {
         let digest = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(16_777_619);
         MemberId(name.bytes().fold(2_166_136_261, digest))
@@ -31,45 +31,48 @@
     }
 }
 
-/// A member of the settings.
+/// A member as named in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, the same in the settings of all.
+    /// The member's name, the same in the settings of all nodes.
     pub name: Arc<str>,
-    /// The zone that it stands in.
+    /// The zone that the member is located in.
     pub zone: Arc<str>,
 }
 
-/// How messages travel.
+/// How messages are transported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Carrier {
-    /// Over connections: a member must be linked before it can be told anything.
+    /// Over connections: a member must be linked before messages can be sent to it.
     Connections,
-    /// As datagrams: everybody can be told at any time, and anything may be lost.
+    /// As datagrams: any member can be sent to at any time, and any message may be lost.
     Notes,
 }
 
-/// How patient a node is. All spans in microseconds.
+/// Intervals and timeouts of a node, all in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// From one probe to the next. A probe with no answer after this, direct or through others, is a suspicion.
+    /// Interval between probes. A probe without an answer after this time, direct or through others, raises a
+    /// suspicion.
     pub round: Micros,
-    /// How long a direct answer may take before others are asked to try.
+    /// How long a direct answer may take before other members are asked to probe.
     pub answer: Micros,
-    /// How long a suspicion by several stands before the member is gone, for ten members or fewer; it grows with
-    /// the logarithm of their number, and is three times this for a suspicion of one node alone.
+    /// How long a suspicion confirmed by several nodes lasts before the member is held to be gone, for ten
+    /// members or fewer. It grows with the logarithm of the number of members, and is three times as long for
+    /// a suspicion by a single node.
     pub suspect: Micros,
-    /// From one passing on of news to the next, while there is any.
+    /// Interval between gossip messages while there are updates to send.
     pub gossip: Micros,
-    /// From one comparison with another member to the next.
+    /// Interval between comparisons of state with another member.
     pub sync: Micros,
-    /// From one try to reach a member that is gone to the next.
+    /// Interval between attempts to reach a member that is gone.
     pub retry: Micros,
-    /// How long a connection that was asked for may take, and how long one is kept that was needed for a word.
+    /// How long a requested connection may take to be established, and how long a connection that was
+    /// requested for a message is kept.
     pub meet: Micros,
-    /// How long a fact lives. Its origin sets it out again before.
+    /// How long a fact is valid. Its origin publishes it again before it expires.
     pub life: Micros,
-    /// Least span between two notices of one sort.
+    /// Minimum interval between two notices of the same sort.
     pub notice: Micros,
 }
 
@@ -89,48 +92,48 @@
     }
 }
 
-/// What a node has to know.
+/// Settings of a node.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's own name, one of the members.
+    /// The node's own name, which is one of the members.
     pub own: Arc<str>,
     /// All members, in any order.
     pub members: Vec<Member>,
-    /// How messages travel.
+    /// How messages are transported.
     pub carrier: Carrier,
-    /// Most bytes of a message; at least 256.
+    /// Maximum size of a message in bytes; at least 256.
     pub max_message: usize,
-    /// How many connections the node seeks; about as many more come in.
+    /// How many connections the node initiates; about as many more are initiated by others.
     pub links: usize,
-    /// How patient it is.
+    /// Intervals and timeouts.
     pub timing: Timing,
 }
 
 impl Settings {
-    /// The settings that fit a fleet of this size: messages of 256 bytes as notes, 4,096 over connections; 3
-    /// connections, 4 from 64 members on.
+    /// Returns default settings for a fleet of this size: messages of 256 bytes as notes and 4,096 over
+    /// connections; 3 connections, or 4 from 64 members on.
     pub fn new(own: &str, members: Vec<Member>, carrier: Carrier) -> Settings {
-        let links = usual_links(members.len());
-        let max_message = if carrier == Carrier::Notes { LEAST_MESSAGE } else { 4_096 };
+        let links = default_links(members.len());
+        let max_message = if carrier == Carrier::Notes { MIN_MESSAGE_BYTES } else { 4_096 };
         Settings { own: own.into(), members, carrier, max_message, links, timing: Timing::default() }
     }
 
-    /// The members by digest.
+    /// Checks the settings and returns the members by digest.
     pub(crate) fn by_id(&self) -> Result<BTreeMap<MemberId, Member>, SettingsError> {
-        if self.max_message < LEAST_MESSAGE {
-            return Err(SettingsError::SmallMessages(self.max_message));
+        if self.max_message < MIN_MESSAGE_BYTES {
+            return Err(SettingsError::MessageLimitTooSmall(self.max_message));
         }
         let timing = &self.timing;
         let spans = [timing.round, timing.answer, timing.suspect, timing.gossip, timing.sync, timing.retry];
         if spans.iter().chain(&[timing.meet, timing.life]).any(|span| *span <= 0) {
-            return Err(SettingsError::NoTime);
+            return Err(SettingsError::NonPositiveSpan);
         }
         by_id(&self.own, &self.members)
     }
 }
 
-/// How many connections a node of a fleet of this size seeks, unless it is told otherwise.
-pub(crate) fn usual_links(members: usize) -> usize {
+/// Returns the default number of connections that a node initiates in a fleet of this size.
+pub(crate) fn default_links(members: usize) -> usize {
     if members < 64 {
         3
     } else {
@@ -138,15 +141,16 @@
     }
 }
 
-/// The members by digest, if they are not too many, can be told apart, and the node is one of them.
+/// Returns the members by digest. Fails if there are too many, if two have the same digest, or if the node is
+/// not among them.
 pub(crate) fn by_id(own: &Arc<str>, members: &[Member]) -> Result<BTreeMap<MemberId, Member>, SettingsError> {
-    if members.len() > MOST_MEMBERS {
-        return Err(SettingsError::TooMany(members.len()));
+    if members.len() > MAX_MEMBERS {
+        return Err(SettingsError::TooManyMembers(members.len()));
     }
     let mut by_id = BTreeMap::<MemberId, Member>::new();
     for member in members {
         if let Some(other) = by_id.insert(MemberId::of(&member.name), member.clone()) {
-            return Err(SettingsError::SameDigest(other.name, member.name.clone()));
+            return Err(SettingsError::DuplicateId(other.name, member.name.clone()));
         }
     }
     if by_id.get(&MemberId::of(own)).is_none_or(|member| member.name != *own) {
@@ -155,37 +159,42 @@
     Ok(by_id)
 }
 
-/// Why settings can't be used.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// Two members have one digest, or one name.
-    SameDigest(Arc<str>, Arc<str>),
+    /// Two members have the same digest, or the same name.
+    DuplicateId(Arc<str>, Arc<str>),
     /// The node is not among the members.
     NotAMember(Arc<str>),
-    /// More than 1,024 members.
-    TooMany(usize),
-    /// Messages of fewer than 256 bytes.
-    SmallMessages(usize),
-    /// A span that is nothing or less.
-    NoTime,
+    /// There are more than 1,024 members.
+    TooManyMembers(usize),
+    /// The message limit is below 256 bytes.
+    MessageLimitTooSmall(usize),
+    /// A time span is zero or negative.
+    NonPositiveSpan,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SettingsError::SameDigest(one, other) if one == other => {
+            SettingsError::DuplicateId(one, other) if one == other => {
                 write!(f, "member {one} is named twice")
             }
-            SettingsError::SameDigest(one, other) => {
+            SettingsError::DuplicateId(one, other) => {
                 let id = MemberId::of(one);
                 write!(f, "members {one} and {other} have one digest ({id}); rename one of them")
             }
             SettingsError::NotAMember(own) => write!(f, "{own} is not among the members"),
-            SettingsError::TooMany(count) => write!(f, "{count} members; at most {MOST_MEMBERS}"),
-            SettingsError::SmallMessages(bytes) => {
-                write!(f, "messages of at most {bytes} bytes; {LEAST_MESSAGE} are needed")
+            SettingsError::TooManyMembers(count) => write!(f, "{count} members; at most {MAX_MEMBERS}"),
+            SettingsError::MessageLimitTooSmall(bytes) => {
+                write!(
+                    f,
+                    "message limit of {bytes} bytes is too small; at least {MIN_MESSAGE_BYTES} are required"
+                )
+            }
+            SettingsError::NonPositiveSpan => {
+                write!(f, "every interval and timeout of the fleet must be above 0")
             }
-            SettingsError::NoTime => write!(f, "every span of the fleet's timing must be above 0"),
         }
     }
 }
--- a/crates/lemoncleat-fleet/tests/common/mod.rs
+++ b/crates/lemoncleat-fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet on a small seeded network under a virtual clock, which checks the laws at each step.
+//! Runs a fleet on a small seeded network under a virtual clock, and checks invariants at each step.
 #![allow(dead_code, reason = "each test uses a part")]
 
 use std::cmp::Reverse;
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 pub const KIND: Kind = Kind(1);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -20,36 +20,36 @@
     Unlink(usize, usize),
 }
 
-/// A fact's version, how long ago it was set out at least, and the test's own number of it.
+/// A fact's version, the negated latest time of its publication, and the serial number that the test gave it.
 type Report = ((u64, u64), Micros, u64);
 
 pub struct Net {
     pub now: Micros,
     pub nodes: Vec<Option<Fleet>>,
-    /// All that ever are members.
+    /// All members, including those that are added later.
     pub members: Vec<Member>,
-    /// Those that are now, for nodes that start and for what is right.
+    /// Current members: the list for nodes that start, and the reference for checks.
     pub listed: BTreeSet<usize>,
-    /// Those that each node knows of.
-    lists: Vec<BTreeSet<usize>>,
+    /// The list that each node has been given.
+    given_lists: Vec<BTreeSet<usize>>,
     pub carrier: Carrier,
-    /// Share of messages lost, delivered twice, or held back for up to two seconds.
+    /// Shares of messages that are lost, duplicated, or delayed by up to two seconds.
     pub lost: f64,
-    pub twice: f64,
-    pub held: f64,
-    /// From whom to whom nothing gets through.
+    pub duplicated: f64,
+    pub delayed: f64,
+    /// Directed links, from sender to receiver, that drop all messages.
     pub cut: BTreeSet<(usize, usize)>,
     pub paused: BTreeMap<usize, Micros>,
-    /// How much younger than it is a fact may be told to be.
-    pub slack: Micros,
+    /// By how much the reported age of a fact may fall short of its real age.
+    pub age_slack: Micros,
     pub log: Vec<(Micros, usize, Output)>,
-    pub told: (u64, u64),
-    pub busiest: usize,
-    lives: Vec<u64>,
-    /// Which ends are connected, and which of them dialled.
+    pub sent: (u64, u64),
+    pub max_connections: usize,
+    generations: Vec<u64>,
+    /// Which nodes are connected, and which of them initiated the connection.
     links: BTreeMap<(usize, usize), usize>,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    count: u64,
+    event_count: u64,
     serial: u64,
     seen: BTreeMap<(usize, u64, MemberId), Report>,
     states: BTreeMap<(usize, u64, MemberId), (u64, State)>,
@@ -61,7 +61,7 @@
         Net::with_spares(size, 0, carrier, seed)
     }
 
-    /// So many nodes that start, and some that are no members yet.
+    /// Creates a network in which the first nodes start, and the spares are not members yet.
     pub fn with_spares(first: usize, spares: usize, carrier: Carrier, seed: u64) -> Net {
         let size = first + spares;
         let name = |at: usize| Member { name: format!("n{at}").into(), zone: format!("z{}", at % 3).into() };
@@ -70,21 +70,21 @@
             nodes: (0..size).map(|_| None).collect(),
             members: (0..size).map(name).collect(),
             listed: (0..first).collect(),
-            lists: vec![BTreeSet::new(); size],
+            given_lists: vec![BTreeSet::new(); size],
             carrier,
             lost: 0.0,
-            twice: 0.0,
-            held: 0.0,
+            duplicated: 0.0,
+            delayed: 0.0,
             cut: BTreeSet::new(),
             paused: BTreeMap::new(),
-            slack: S,
+            age_slack: SECOND,
             log: Vec::new(),
-            told: (0, 0),
-            busiest: 0,
-            lives: vec![0; size],
+            sent: (0, 0),
+            max_connections: 0,
+            generations: vec![0; size],
             links: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            count: 0,
+            event_count: 0,
             serial: 0,
             seen: BTreeMap::new(),
             states: BTreeMap::new(),
@@ -103,33 +103,33 @@
     }
 
     pub fn start(&mut self, at: usize, start: u32) {
-        let settings = Settings::new(&self.members[at].name, self.those(&self.listed), self.carrier);
-        self.lists[at] = self.listed.clone();
+        let settings = Settings::new(&self.members[at].name, self.member_list(&self.listed), self.carrier);
+        self.given_lists[at] = self.listed.clone();
         self.nodes[at] = Some(Fleet::new(settings, start, self.rng.random()).expect("settings"));
-        self.lives[at] += 1;
+        self.generations[at] += 1;
         self.turn(at, Input::Timeout);
     }
 
-    pub fn those(&self, list: &BTreeSet<usize>) -> Vec<Member> {
+    pub fn member_list(&self, list: &BTreeSet<usize>) -> Vec<Member> {
         list.iter().map(|at| self.members[*at].clone()).collect()
     }
 
-    /// A node learns which members there are now. Its carrier ends the connections with those that went.
-    pub fn change(&mut self, at: usize) {
+    /// Gives a node the current list of members. Its transport ends the connections with removed ones.
+    pub fn update_members(&mut self, at: usize) {
         let list = self.listed.clone();
         if self.nodes[at].is_none() || !list.contains(&at) {
             return;
         }
-        let went: Vec<usize> = self.lists[at].difference(&list).copied().collect();
-        for one in &went {
-            // What is heard of it later begins anew.
-            let (life, id) = (self.lives[at], self.id(*one));
-            self.seen.remove(&(at, life, id));
-            self.states.remove(&(at, life, id));
+        let removed: Vec<usize> = self.given_lists[at].difference(&list).copied().collect();
+        for one in &removed {
+            // What is received from it later is checked from the start again.
+            let (generation, id) = (self.generations[at], self.id(*one));
+            self.seen.remove(&(at, generation, id));
+            self.states.remove(&(at, generation, id));
         }
-        self.turn(at, Input::Members(self.those(&list)));
-        self.lists[at] = list;
-        for one in went {
+        self.turn(at, Input::Members(self.member_list(&list)));
+        self.given_lists[at] = list;
+        for one in removed {
             if self.links.remove(&(at.min(one), at.max(one))).is_some() {
                 self.push(0, Event::Unlink(at, one));
                 self.push(20_000, Event::Unlink(one, at));
@@ -137,13 +137,13 @@
         }
     }
 
-    pub fn change_all(&mut self) {
-        (0..self.nodes.len()).for_each(|at| self.change(at));
+    pub fn update_all_members(&mut self) {
+        (0..self.nodes.len()).for_each(|at| self.update_members(at));
     }
 
     pub fn kill(&mut self, at: usize) {
         self.nodes[at] = None;
-        self.lives[at] += 1;
+        self.generations[at] += 1;
         self.paused.remove(&at);
         for (one, other) in self.links.keys().copied().collect::<Vec<_>>() {
             if one == at || other == at {
@@ -159,8 +159,8 @@
     }
 
     fn push(&mut self, after: Micros, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((self.now + after, self.count, event)));
+        self.event_count += 1;
+        self.queue.push(Reverse((self.now + after, self.event_count, event)));
     }
 
     pub fn publish(&mut self, at: usize) {
@@ -169,7 +169,7 @@
         self.turn(at, Input::Publish { kind: KIND, bytes });
     }
 
-    /// One turn of a node, with what becomes of it. Under armed points it may end there.
+    /// Runs a node with an input and applies its outputs. An armed fault point may kill the node.
     pub fn turn(&mut self, at: usize, input: Input<'_>) {
         let Some(mut node) = self.nodes[at].take() else { return };
         let (now, mut out) = (self.now, Vec::new());
@@ -187,26 +187,29 @@
         #[cfg(not(feature = "faults"))]
         node.handle(now, input, &mut out);
         if let Some(wake) = node.wake() {
-            let life = self.lives[at];
-            self.push((wake - now).max(1), Event::Wake(at, life));
+            let generation = self.generations[at];
+            self.push((wake - now).max(1), Event::Wake(at, generation));
         }
         self.nodes[at] = Some(node);
-        out.into_iter().for_each(|output| self.carry_out(at, output));
+        out.into_iter().for_each(|output| self.apply_output(at, output));
     }
 
-    fn carry_out(&mut self, at: usize, output: Output) {
-        let life = self.lives[at];
+    fn apply_output(&mut self, at: usize, output: Output) {
+        let generation = self.generations[at];
         match &output {
             Output::Tell { to, bytes } => {
-                let most = if self.carrier == Carrier::Notes { 256 } else { 4_096 };
-                assert!(bytes.len() <= most, "law: a message of {} bytes", bytes.len());
+                let limit = if self.carrier == Carrier::Notes { 256 } else { 4_096 };
+                assert!(bytes.len() <= limit, "invariant violated: a message of {} bytes", bytes.len());
                 let to = self.at(*to);
-                assert!(self.lists[at].contains(&to), "law: a word for one that is no member");
-                self.told = (self.told.0 + 1, self.told.1 + bytes.len() as u64);
+                assert!(
+                    self.given_lists[at].contains(&to),
+                    "invariant violated: a message to a process that is not a member"
+                );
+                self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
                 if !self.cut.contains(&(at, to)) && self.rng.random::<f64>() >= self.lost {
-                    for _ in 0..1 + u32::from(self.rng.random::<f64>() < self.twice) {
-                        let held = self.rng.random::<f64>() < self.held;
-                        let delay = self.rng.random_range(500..if held { 2 * S } else { 5_000 });
+                    for _ in 0..1 + u32::from(self.rng.random::<f64>() < self.duplicated) {
+                        let delayed = self.rng.random::<f64>() < self.delayed;
+                        let delay = self.rng.random_range(500..if delayed { 2 * SECOND } else { 5_000 });
                         self.push(delay, Event::Message(at, to, bytes.clone()));
                     }
                 }
@@ -214,12 +217,15 @@
             }
             Output::Meet(to) => {
                 let to = self.at(*to);
-                assert!(self.lists[at].contains(&to), "law: a connection to one that is no member");
+                assert!(
+                    self.given_lists[at].contains(&to),
+                    "invariant violated: a connection to a process that is not a member"
+                );
                 return self.push(10_000, Event::Link(at, to));
             }
             Output::Part(to) => {
                 let to = self.at(*to);
-                // A connection that the other has dialled is its own to end, as the carrier has it.
+                // A connection can only be ended by the node that initiated it, as in the real transport.
                 let pair = (at.min(to), at.max(to));
                 if self.links.get(&pair) == Some(&at) {
                     self.links.remove(&pair);
@@ -229,21 +235,29 @@
                 return;
             }
             Output::Fact(fact) => {
-                let word =
-                    |at: usize| u64::from_be_bytes(fact.bytes[at * 8..][..8].try_into().expect("ours"));
-                let (serial, real) = (word(0), self.now - word(1) as Micros);
-                assert!(fact.age <= real + 20_000, "law: an age of {} that is {real}", fact.age);
-                assert!(fact.age + self.slack >= real, "law: an age of {} that is {real}", fact.age);
+                let field =
+                    |at: usize| u64::from_be_bytes(fact.bytes[at * 8..][..8].try_into().expect("8 bytes"));
+                let (serial, real_age) = (field(0), self.now - field(1) as Micros);
+                assert!(
+                    fact.age <= real_age + 20_000,
+                    "invariant violated: reported age {}, real age {real_age}",
+                    fact.age
+                );
+                assert!(
+                    fact.age + self.age_slack >= real_age,
+                    "invariant violated: reported age {}, real age {real_age}",
+                    fact.age
+                );
                 let (version, born) = ((fact.incarnation, fact.number), self.now - fact.age);
                 let new = (version, -born, serial);
-                let old = self.seen.insert((at, life, fact.origin), new);
+                let old = self.seen.insert((at, generation, fact.origin), new);
                 let newer = |old: Report| old <= new && old.2 <= serial;
-                assert!(old.is_none_or(newer), "law: {new:?} after {old:?}");
+                assert!(old.is_none_or(newer), "invariant violated: {new:?} after {old:?}");
             }
             Output::State { member, state, incarnation } => {
                 let new = (*incarnation, *state);
-                let old = self.states.insert((at, life, *member), new);
-                assert!(old < Some(new), "law: {new:?} after {old:?}");
+                let old = self.states.insert((at, generation, *member), new);
+                assert!(old < Some(new), "invariant violated: {new:?} after {old:?}");
             }
             Output::Direct { .. } | Output::Notice(_) => {}
         }
@@ -255,31 +269,31 @@
         while self.queue.peek().is_some_and(|next| next.0 .0 <= until) {
             let Reverse((at, _, event)) = self.queue.pop().expect("peeked");
             self.now = at;
-            self.step(event);
+            self.handle_event(event);
             #[cfg(feature = "faults")]
-            if let Some((fault, Some(whose))) = lemoncleat_faults::scene::fired() {
-                self.suffer(whose, fault);
+            if let Some((fault, Some(node))) = lemoncleat_faults::scene::fired() {
+                self.apply_fault(node, fault);
             }
         }
         self.now = until;
     }
 
     #[cfg(feature = "faults")]
-    fn suffer(&mut self, whose: usize, fault: lemoncleat_faults::Fault) {
+    fn apply_fault(&mut self, node: usize, fault: lemoncleat_faults::Fault) {
         use lemoncleat_faults::Fault;
-        let others: Vec<usize> = (0..self.nodes.len()).filter(|at| *at != whose).collect();
+        let others: Vec<usize> = (0..self.nodes.len()).filter(|at| *at != node).collect();
         if fault == Fault::Pause {
-            self.paused.insert(whose, self.now + 40 * S);
+            self.paused.insert(node, self.now + 40 * SECOND);
         }
         if matches!(fault, Fault::Cut | Fault::CutOut) {
-            self.cut(&[whose], &others);
+            self.cut(&[node], &others);
         }
         if matches!(fault, Fault::Cut | Fault::CutIn) {
-            self.cut(&others, &[whose]);
+            self.cut(&others, &[node]);
         }
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let (Event::Wake(at, _) | Event::Message(_, at, _) | Event::Link(at, _) | Event::Unlink(at, _)) =
             event;
         if let Some(until) = self.paused.get(&at).copied() {
@@ -289,9 +303,9 @@
             self.paused.remove(&at);
         }
         match event {
-            Event::Wake(_, life) => {
+            Event::Wake(_, generation) => {
                 let due = self.nodes[at].as_ref().and_then(Fleet::wake).is_some_and(|wake| wake <= self.now);
-                if life == self.lives[at] && due {
+                if generation == self.generations[at] && due {
                     self.turn(at, Input::Timeout);
                 }
             }
@@ -302,15 +316,15 @@
             }
             Event::Link(_, to) => {
                 let cut = self.cut.contains(&(at, to)) || self.cut.contains(&(to, at));
-                let there = self.nodes[at].is_some() && self.nodes[to].is_some();
-                let known = self.lists[at].contains(&to) && self.lists[to].contains(&at);
-                if there && known && !cut && !self.paused.contains_key(&to) {
+                let running = self.nodes[at].is_some() && self.nodes[to].is_some();
+                let known = self.given_lists[at].contains(&to) && self.given_lists[to].contains(&at);
+                if running && known && !cut && !self.paused.contains_key(&to) {
                     let pair = (at.min(to), at.max(to));
                     if let Entry::Vacant(link) = self.links.entry(pair) {
                         link.insert(at);
                         let degree =
                             |at| self.links.keys().filter(|link| link.0 == at || link.1 == at).count();
-                        self.busiest = self.busiest.max(degree(at)).max(degree(to));
+                        self.max_connections = self.max_connections.max(degree(at)).max(degree(to));
                     }
                     self.turn(at, Input::Linked(self.id(to)));
                     self.turn(to, Input::Linked(self.id(at)));
@@ -320,7 +334,7 @@
         }
     }
 
-    /// The watchdogs' work: connections whose ends can't both be heard end.
+    /// Ends the connections over a cut link, as the watchdogs do.
     pub fn break_cut_links(&mut self) {
         for (one, other) in self.links.keys().copied().collect::<Vec<_>>() {
             if self.cut.contains(&(one, other)) || self.cut.contains(&(other, one)) {
@@ -331,44 +345,45 @@
         }
     }
 
-    /// What `viewer` holds of `at`.
-    pub fn view(&self, viewer: usize, at: usize) -> State {
-        let mut members = self.nodes[viewer].as_ref().expect("there").members();
+    /// Returns the state in which `viewer` holds `at`.
+    pub fn state_of(&self, viewer: usize, at: usize) -> State {
+        let mut members = self.nodes[viewer].as_ref().expect("running").members();
         members.find(|(id, ..)| *id == self.id(at)).expect("a member").2
     }
 
-    /// How many pairs of nodes hold something wrong of each other, state or fact.
-    pub fn wrong(&self) -> usize {
-        let there: Vec<usize> = self.listed.iter().copied().filter(|at| self.nodes[*at].is_some()).collect();
-        let ids: BTreeSet<MemberId> = there.iter().map(|at| self.id(*at)).collect();
+    /// Counts the pairs of nodes that hold a wrong state or fact of each other.
+    pub fn disagreements(&self) -> usize {
+        let running: Vec<usize> =
+            self.listed.iter().copied().filter(|at| self.nodes[*at].is_some()).collect();
+        let ids: BTreeSet<MemberId> = running.iter().map(|at| self.id(*at)).collect();
         let newest = |node: &Fleet| -> Vec<_> {
             let mut facts: Vec<_> =
                 node.facts(self.now, KIND).map(|fact| (fact.origin, fact.bytes)).collect();
             facts.sort();
             facts
         };
-        let own = |at: &usize| newest(self.nodes[*at].as_ref().expect("there"));
+        let own = |at: &usize| newest(self.nodes[*at].as_ref().expect("running"));
         let mut all: Vec<_> =
-            there.iter().flat_map(|at| own(at).into_iter().filter(|fact| fact.0 == self.id(*at))).collect();
+            running.iter().flat_map(|at| own(at).into_iter().filter(|fact| fact.0 == self.id(*at))).collect();
         all.sort();
-        let right = |node: &Fleet| {
+        let errors = |node: &Fleet| {
             let states = node.members().filter(|(id, _, state, _)| {
                 *state != if ids.contains(id) { State::Alive } else { State::Gone }
             });
-            let lists = node.members().count() != self.listed.len();
-            states.count() + usize::from(lists) + usize::from(newest(node) != all)
+            let given_lists = node.members().count() != self.listed.len();
+            states.count() + usize::from(given_lists) + usize::from(newest(node) != all)
         };
-        there.iter().map(|at| right(self.nodes[*at].as_ref().expect("there"))).sum()
+        running.iter().map(|at| errors(self.nodes[*at].as_ref().expect("running"))).sum()
     }
 
-    /// Runs until nobody holds anything wrong; how long that took.
-    pub fn settle(&mut self, most: Micros) -> Option<Micros> {
+    /// Runs until no node holds a wrong state or fact. Returns how long that took.
+    pub fn settle(&mut self, limit: Micros) -> Option<Micros> {
         let began = self.now;
-        while self.wrong() > 0 {
-            if self.now - began >= most {
+        while self.disagreements() > 0 {
+            if self.now - began >= limit {
                 return None;
             }
-            self.run(S / 10);
+            self.run(SECOND / 10);
         }
         Some(self.now - began)
     }
