--- a/crates/lemoncleat-agreement/benches/agreement.rs
+++ b/crates/lemoncleat-agreement/benches/agreement.rs
@@ -1,26 +1,27 @@
-//! What a decided command costs: voters in one process and thread, links in memory, with disks that forget and with
-//! real ones. Prints rates and their ratios in one run.
+//! Measures the cost of a decided command: voters in one process and thread, with links in memory, and with
+//! disks that store nothing or with real ones. Prints rates and their ratios.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
 use lemoncleat_agreement::{Found, Input, Output, Settings, Store, Timing, Voter};
 
-struct Ran {
+struct Measurement {
     rate: f64,
     bytes: f64,
     batches: f64,
     rounds: f64,
 }
 
-/// Decides `count` commands of 100 bytes on all voters, `window` of them proposed at a time.
-fn run(voters: u64, count: u64, window: u64, real: bool) -> Ran {
+/// Decides `count` commands of 100 bytes on all voters, with `window` of them proposed at a time.
+fn run(voters: u64, count: u64, window: u64, real_disks: bool) -> Measurement {
     let directory = tempfile::tempdir().expect("a directory");
     let numbers: Vec<u64> = (1..=voters).collect();
     let mut stores = Vec::new();
     let mut cores = Vec::new();
     for own in numbers.clone() {
-        let store = real.then(|| Store::open(&directory.path().join(own.to_string()), own).expect("a store"));
+        let store =
+            real_disks.then(|| Store::open(&directory.path().join(own.to_string()), own).expect("a store"));
         stores.push(store);
         let settings = Settings {
             own,
@@ -35,13 +36,13 @@
     let mut messages: VecDeque<(u64, u64, Vec<u8>)> = VecDeque::new();
     let (mut decided, mut proposed) = (vec![0; cores.len()], 0);
     let (mut bytes, mut batches, mut rounds) = (0, 0, 0);
-    let mut begun = Instant::now();
+    let mut started_at = Instant::now();
     let mut storing: Vec<(usize, u64)> = Vec::new();
     let mut leader: Option<usize> = None;
     while decided.iter().any(|decided| *decided < count) {
         let mut inputs: Vec<(usize, Input)> = Vec::new();
-        let heard: Vec<(u64, u64, Vec<u8>)> = messages.drain(..).collect();
-        for (from, to, bytes) in &heard {
+        let received: Vec<(u64, u64, Vec<u8>)> = messages.drain(..).collect();
+        for (from, to, bytes) in &received {
             inputs.push((*to as usize - 1, Input::Heard { from: *from, bytes }));
         }
         match leader {
@@ -73,16 +74,17 @@
             let mut outputs = VecDeque::from(outputs);
             while let Some(output) = outputs.pop_front() {
                 match output {
-                    Output::Tell { to, bytes: said } => {
-                        bytes += said.len();
-                        messages.push_back((core as u64 + 1, to, said));
+                    Output::Tell { to, bytes: message } => {
+                        bytes += message.len();
+                        messages.push_back((core as u64 + 1, to, message));
                     }
                     Output::Store(batch) => {
                         batches += 1;
                         if let Some(store) = &mut stores[core] {
                             store.apply(&batch).expect("a batch is stored");
                         }
-                        // Told in the next round: meanwhile proposals and messages gather, as with a thread that writes.
+                        // Reported in the next round: proposals and messages accumulate in between, as with a
+                        // writer thread.
                         storing.push((core, batch.number));
                     }
                     Output::Decided { .. } => decided[core] += 1,
@@ -91,9 +93,9 @@
                         cores[core].handle(now, Input::Snapshot { index, bytes: vec![0; 1000] }, &mut more);
                         outputs.extend(more);
                     }
-                    Output::Leader(Some(who)) if who == core as u64 + 1 => {
+                    Output::Leader(Some(voter)) if voter == core as u64 + 1 => {
                         leader = Some(core);
-                        (bytes, batches, rounds, begun) = (0, 0, 0, Instant::now());
+                        (bytes, batches, rounds, started_at) = (0, 0, 0, Instant::now());
                     }
                     _ => {}
                 }
@@ -101,8 +103,8 @@
         }
     }
     let count = count as f64;
-    Ran {
-        rate: count / begun.elapsed().as_secs_f64(),
+    Measurement {
+        rate: count / started_at.elapsed().as_secs_f64(),
         bytes: bytes as f64 / count,
         batches: batches as f64 / count,
         rounds: rounds as f64 / count,
@@ -112,7 +114,7 @@
 fn main() {
     println!("voters window disk     commands/s  bytes/command  batches/command  rounds/command");
     let mut rates = Vec::new();
-    for (voters, count, window, real) in [
+    for (voters, count, window, real_disks) in [
         (3, 2_000, 1, false),
         (3, 100_000, 256, false),
         (5, 50_000, 256, false),
@@ -120,15 +122,15 @@
         (3, 10_000, 256, true),
         (5, 5_000, 256, true),
     ] {
-        let ran = run(voters, count, window, real);
-        let disk = if real { "redb" } else { "none" };
+        let measurement = run(voters, count, window, real_disks);
+        let disk = if real_disks { "redb" } else { "none" };
         println!(
             "{voters:>6} {window:>6} {disk:<7} {:>11.0} {:>14.0} {:>16.3} {:>15.3}",
-            ran.rate, ran.bytes, ran.batches, ran.rounds
+            measurement.rate, measurement.bytes, measurement.batches, measurement.rounds
         );
-        rates.push(ran.rate);
+        rates.push(measurement.rate);
     }
-    println!("joined (256 at a time) to alone, no disk: {:.1}", rates[1] / rates[0]);
-    println!("joined (256 at a time) to alone, redb:    {:.1}", rates[4] / rates[3]);
-    println!("no disk to redb, 3 voters, joined:        {:.1}", rates[1] / rates[4]);
+    println!("256 at a time to one at a time, no disk: {:.1}", rates[1] / rates[0]);
+    println!("256 at a time to one at a time, redb:    {:.1}", rates[4] / rates[3]);
+    println!("no disk to redb, 3 voters, 256 at a time: {:.1}", rates[1] / rates[4]);
 }
--- a/crates/lemoncleat-agreement/src/admission.rs
+++ b/crates/lemoncleat-agreement/src/admission.rs
@@ -1,86 +1,88 @@
-//! Whether a voter may vote with the store that it has.
+//! Decides whether a voter may vote with its store.
 //!
-//! A store has an identity. Voters note the identities of each other's stores, durably, before they welcome them.
-//! A new store votes only when all other voters welcomed it; so one that replaces a lost store meets at least one
-//! voter that knows the lost one, unless all voters lost theirs, and then nothing is left to contradict.
+//! A store has an identity. Voters record the identities of each other's stores durably before they accept
+//! them. A new store votes only after all other voters have accepted it. A store that replaces a lost one
+//! therefore meets at least one voter that knows the lost one, unless all voters lost theirs; in that case no
+//! voter remembers a decision that could be contradicted.
 
 use std::collections::BTreeSet;
 
-use crate::Place;
+use crate::StoreOwner;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// It asks the others.
-    Asking,
+pub(crate) enum VoterState {
+    /// It is asking the other voters to accept its store.
+    Pending,
     /// It votes.
     Voting,
-    /// Its store was lost: it only learns.
-    Lost,
+    /// Its store was lost: it only learns what was decided.
+    StoreLost,
 }
 
-/// What is known of stores.
+/// What is known of the stores of all voters.
 pub(crate) struct Admission {
-    pub place: Place,
-    pub standing: Standing,
+    pub owner: StoreOwner,
+    pub state: VoterState,
     own_store: u64,
-    welcomed_by: BTreeSet<u64>,
+    accepted_by: BTreeSet<u64>,
 }
 
-pub(crate) enum Verdict {
-    Nothing,
-    /// The place changed and is to be stored.
+pub(crate) enum Outcome {
+    Unchanged,
+    /// The owner record has changed and must be stored.
     Admitted,
-    Lost,
+    StoreLost,
 }
 
 impl Admission {
-    pub fn new(place: Place, own_store: u64) -> Admission {
-        let standing = if place.admitted { Standing::Voting } else { Standing::Asking };
-        Admission { place, standing, own_store, welcomed_by: BTreeSet::new() }
+    pub fn new(owner: StoreOwner, own_store: u64) -> Admission {
+        let state = if owner.admitted { VoterState::Voting } else { VoterState::Pending };
+        Admission { owner, state, own_store, accepted_by: BTreeSet::new() }
     }
 
-    /// The voters that have not answered.
-    pub fn unanswered(&self) -> Vec<u64> {
-        let others = self.place.voters.iter().filter(|voter| **voter != self.place.own);
-        others.filter(|voter| !self.welcomed_by.contains(voter)).copied().collect()
+    /// Returns the voters that have not accepted this store yet.
+    pub fn unconfirmed(&self) -> Vec<u64> {
+        let others = self.owner.voters.iter().filter(|voter| **voter != self.owner.own);
+        others.filter(|voter| !self.accepted_by.contains(voter)).copied().collect()
     }
 
-    /// Another asks with a store; returns whether it is welcome, and whether the place changed and is to be stored
-    /// before the answer. None: no answer, since this voter's own memory was lost.
-    pub fn asked(&mut self, from: u64, store: u64) -> Option<(bool, bool)> {
-        if self.standing == Standing::Lost {
+    /// Handles the request of another voter to accept its store. Returns whether it is accepted, and whether
+    /// the owner record has changed and must be stored before the answer. Returns none if this voter must not
+    /// answer, since its own memory was lost.
+    pub fn handle_request(&mut self, from: u64, store: u64) -> Option<(bool, bool)> {
+        if self.state == VoterState::StoreLost {
             return None;
         }
-        match self.place.stores.get(&from) {
+        match self.owner.stores.get(&from) {
             Some(known) if *known == store => Some((true, false)),
-            Some(_) if !planted!(WelcomesAll) => Some((false, false)),
+            Some(_) if !planted!(AdmitsAnyStore) => Some((false, false)),
             _ => {
-                self.place.stores.insert(from, store);
+                self.owner.stores.insert(from, store);
                 Some((true, true))
             }
         }
     }
 
-    /// Another answered about the store `asked`.
-    pub fn answered(&mut self, from: u64, asked: u64, welcome: bool) -> Verdict {
-        if self.standing != Standing::Asking || asked != self.own_store {
-            return Verdict::Nothing;
+    /// Handles the answer of another voter about the store `requested`.
+    pub fn handle_response(&mut self, from: u64, requested: u64, accepted: bool) -> Outcome {
+        if self.state != VoterState::Pending || requested != self.own_store {
+            return Outcome::Unchanged;
         }
-        if !welcome {
-            self.standing = Standing::Lost;
-            return Verdict::Lost;
+        if !accepted {
+            self.state = VoterState::StoreLost;
+            return Outcome::StoreLost;
         }
-        self.welcomed_by.insert(from);
-        if !self.unanswered().is_empty() {
-            return Verdict::Nothing;
+        self.accepted_by.insert(from);
+        if !self.unconfirmed().is_empty() {
+            return Outcome::Unchanged;
         }
-        self.place.admitted = true;
-        self.standing = Standing::Voting;
-        Verdict::Admitted
+        self.owner.admitted = true;
+        self.state = VoterState::Voting;
+        Outcome::Admitted
     }
 
-    /// Whether the engine may hear a message of this store.
-    pub fn knows(&self, from: u64, store: u64) -> bool {
-        planted!(WelcomesAll) || self.place.stores.get(&from) == Some(&store)
+    /// Returns whether messages from this store may be passed to the engine.
+    pub fn accepts(&self, from: u64, store: u64) -> bool {
+        planted!(AdmitsAnyStore) || self.owner.stores.get(&from) == Some(&store)
     }
 }
--- a/crates/lemoncleat-agreement/src/interface.rs
+++ b/crates/lemoncleat-agreement/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into a voter and what comes out of it.
+//! Inputs and outputs of a voter.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,15 @@
 
 use crate::{Micros, MAX_COMMAND};
 
-/// How a voter counts time.
+/// Timing of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// The length of a tick in microseconds.
     pub tick: Micros,
-    /// How many ticks of silence of a leader bring an election; a voter draws from this to twice this.
+    /// Number of ticks without a message of the leader after which a voter starts an election; each voter
+    /// chooses a random number between this and twice this.
     pub election: usize,
-    /// Every how many ticks a leader says that it lives; fewer than `election`.
+    /// Number of ticks between two heartbeats of a leader; less than `election`.
     pub heartbeat: usize,
 }
 
@@ -24,298 +25,303 @@
     }
 }
 
-/// What a voter is told at its start.
+/// Settings of a voter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// The voter's own number, not 0.
     pub own: u64,
-    /// All voters, the own among them: 3 or 5.
+    /// All voters, including this one: 3 or 5.
     pub voters: Vec<u64>,
-    /// How it counts time.
+    /// Ticks and timeouts.
     pub timing: Timing,
-    /// The longest command in bytes, at most [`MAX_COMMAND`].
+    /// The maximum length of a command in bytes, at most [`MAX_COMMAND`].
     pub max_command: usize,
-    /// After how many entries the state machine is asked for a snapshot; the log holds at most four times as
-    /// many, then nothing more is proposed.
+    /// The number of entries after which the state machine is asked for a snapshot. The log holds at most
+    /// four times as many; beyond that, proposals are rejected.
     pub snapshot_every: u64,
 }
 
 impl Settings {
-    pub(crate) fn check(&self) -> Result<(), Refused> {
+    pub(crate) fn check(&self) -> Result<(), StartError> {
         let mut voters = self.voters.clone();
         voters.sort_unstable();
         voters.dedup();
-        let wrong = |why: &str| Err(Refused::Settings(why.to_owned()));
+        let invalid = |why: &str| Err(StartError::Settings(why.to_owned()));
         if voters.len() != self.voters.len() || !matches!(voters.len(), 3 | 5) {
-            return wrong("voters are 3 or 5 different numbers");
+            return invalid("there must be 3 or 5 distinct voters");
         }
         if self.own == 0 || voters.contains(&0) || !voters.contains(&self.own) {
-            return wrong("the own number is one of the voters', and none is 0");
+            return invalid("the own number must be one of the voters, and no voter may be 0");
         }
         let timing = self.timing;
         if timing.tick <= 0 || timing.heartbeat == 0 || timing.election <= timing.heartbeat {
-            return wrong("a tick is longer than 0, and an election takes more ticks than a heartbeat");
+            return invalid(
+                "a tick must be longer than 0, and an election must take more ticks than a heartbeat",
+            );
         }
         if timing.election > 10_000 || self.max_command == 0 || self.max_command > MAX_COMMAND {
-            return wrong("an election takes at most 10,000 ticks and a command 1 to 65,536 bytes");
+            return invalid("an election may take at most 10,000 ticks, and a command 1 to 65,536 bytes");
         }
         if !(16..=1_000_000).contains(&self.snapshot_every) {
-            return wrong("a snapshot is taken every 16 to 1,000,000 entries");
+            return invalid("the snapshot interval must be 16 to 1,000,000 entries");
         }
         Ok(())
     }
 }
 
-/// What happened.
+/// Input of a voter.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
-    /// A message came from a member. The carrier vouches for `from`.
+    /// A message was received from a member. The transport guarantees that `from` is correct.
     Heard {
-        /// Who sent it.
+        /// The sender.
         from: u64,
-        /// What it said.
+        /// The message.
         bytes: &'a [u8],
     },
-    /// A command is to be decided.
+    /// A command is proposed.
     Propose {
-        /// The proposer's name for it, told back with [`Output::Lost`].
+        /// The proposer's name for the command, returned with [`Output::Lost`].
         token: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// The batch of this number is on disk.
+    /// The batch with this number is on disk.
     Stored(u64),
-    /// The batch of this number could not be stored, and why.
+    /// The batch with this number could not be stored, with the reason.
     StoreFailed(u64, String),
-    /// The state machine's snapshot that [`Output::TakeSnapshot`] asked for.
+    /// The snapshot of the state machine that [`Output::TakeSnapshot`] requested.
     Snapshot {
-        /// The last command in it.
+        /// The index of the last command in it.
         index: u64,
         /// The snapshot, at most [`MAX_SNAPSHOT`](crate::MAX_SNAPSHOT) bytes.
         bytes: Vec<u8>,
     },
-    /// The time that `wake` named has come.
+    /// The time that `wake` returned has been reached.
     Timeout,
 }
 
-/// What is to be done, in this order.
+/// Output of a voter, to be carried out in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send to a member.
     Tell {
-        /// To whom.
+        /// The receiver.
         to: u64,
-        /// What.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Store, and answer with [`Input::Stored`] or [`Input::StoreFailed`]. One is out at a time.
+    /// Store this batch, and report [`Input::Stored`] or [`Input::StoreFailed`]. Only one batch is
+    /// outstanding at a time.
     Store(Batch),
-    /// Decided, once and for all voters alike. The indexes rise, with gaps.
+    /// A command was decided, finally and for all voters alike. Indexes increase, with gaps.
     Decided {
-        /// Its place in the log.
+        /// Its index in the log.
         index: u64,
         /// The command.
         command: Vec<u8>,
     },
-    /// The state machine forgets what it has and loads this.
+    /// The state machine must discard its state and load this snapshot.
     Restore {
-        /// The last command in it.
+        /// The index of the last command in it.
         index: u64,
         /// The snapshot.
         bytes: Vec<u8>,
     },
-    /// A snapshot of the state machine as it is after the commands up to here.
+    /// Take a snapshot of the state machine as it is after the commands up to this index.
     TakeSnapshot {
-        /// The last command in it.
+        /// The index of the last command in it.
         index: u64,
     },
-    /// Who leads, as far as this voter knows.
+    /// The leader, as far as this voter knows.
     Leader(Option<u64>),
-    /// It may or may not be decided later.
+    /// The proposal was given up. The command may still be decided later.
     Lost {
-        /// As it was proposed.
+        /// The token of the proposal.
         token: u64,
     },
-    /// For the operator.
+    /// A message for the operator.
     Notice(Notice),
 }
 
-/// What an operator should know.
+/// Notices for the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// The store can't be written: the voter keeps still until it can.
+    /// The store can't be written. The voter takes no part in decisions until it can.
     StoreFailed {
-        /// What the store said.
+        /// The store's error.
         why: String,
-        /// When it is tried again, in microseconds from now.
+        /// Time until the next attempt, in microseconds.
         again: Micros,
     },
     /// The store can be written again.
     StoreWorks,
-    /// All others welcomed this store: the voter votes.
+    /// All other voters have accepted this store: the voter votes.
     Admitted,
-    /// The voter `by` knew this voter under another store, which was lost: this one only learns.
+    /// The voter `by` knows this voter with another store, which was lost: this voter only learns.
     StoreLost {
-        /// Who says so.
+        /// The voter that reported it.
         by: u64,
     },
-    /// The state machine's snapshot is longer than allowed; the log can't be trimmed.
+    /// The snapshot of the state machine exceeds the limit; the log can't be trimmed.
     SnapshotTooLong {
-        /// Its bytes.
+        /// Its size in bytes.
         bytes: usize,
     },
 }
 
 /// Why a voter can't start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// The settings are wrong.
+pub enum StartError {
+    /// The settings are invalid.
     Settings(String),
-    /// The store belongs to another voter or to other voters.
-    OtherPlace(Place),
-    /// What was found contradicts itself.
-    Broken(String),
+    /// The store belongs to another voter or to another set of voters.
+    ForeignStore(StoreOwner),
+    /// The contents of the store are inconsistent.
+    Inconsistent(String),
 }
 
-impl std::fmt::Display for Refused {
+impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Refused::Settings(why) => write!(f, "settings of the agreement: {why}"),
-            Refused::OtherPlace(place) => {
-                write!(f, "the store is that of voter {} of {:?}", place.own, place.voters)
+            StartError::Settings(why) => write!(f, "invalid agreement settings: {why}"),
+            StartError::ForeignStore(owner) => {
+                write!(f, "the store belongs to voter {} of {:?}", owner.own, owner.voters)
             }
-            Refused::Broken(why) => write!(f, "the store contradicts itself: {why}"),
+            StartError::Inconsistent(why) => write!(f, "the store is inconsistent: {why}"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for StartError {}
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Messages heard that could not be read.
+    /// Received messages that could not be decoded.
     pub unreadable: u64,
-    /// Messages heard that no honest voter sends now: of strangers, other stores, impossible places in the log.
+    /// Received messages that no correct voter would send now: from strangers or other stores, or with
+    /// impossible log indexes.
     pub refused: u64,
-    /// Messages not acted on because the store was behind.
+    /// Messages dropped because the store was behind.
     pub shed: u64,
     /// Batches stored.
     pub batches: u64,
-    /// Commands handed out.
+    /// Commands delivered.
     pub decided: u64,
-    /// Entries in the log, those after the last snapshot and some before it.
+    /// Entries in the log: those after the last snapshot and some before it.
     pub log: u64,
     /// The engine's term.
     pub term: u64,
     /// The last index decided here.
     pub index: u64,
-    /// The most outputs that waited for the store.
-    pub held: u64,
+    /// The largest number of outputs that waited for the store.
+    pub max_deferred: u64,
 }
 
-/// A place in the log and its term.
+/// A position in the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Mark {
-    /// The place, from 1; 0 is before the first.
+    /// The index, from 1; 0 is before the first entry.
     pub index: u64,
-    /// The term of the entry there.
+    /// The term of the entry at the index.
     pub term: u64,
 }
 
 /// An entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Where it stands.
+    /// Its position.
     pub at: Mark,
-    /// The command; empty at the start of a leader.
+    /// The command; empty for the entry that a new leader appends.
     pub command: Vec<u8>,
-    /// Who proposed it, and the proposer's name for it.
+    /// The proposer, and its name for the command.
     pub origin: Vec<u8>,
 }
 
 /// A snapshot of the state machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    /// The last command in it.
+    /// The position of the last command in it.
     pub at: Mark,
     /// The snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// What the engine promised and may not forget.
+/// The state that Raft must not forget (its hard state).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promise {
-    /// The term.
+    /// The current term.
     pub term: u64,
-    /// For whom it voted in it, or 0.
+    /// The candidate that this voter voted for in the term, or 0.
     pub vote: u64,
-    /// What it knew as decided; may be behind.
+    /// The known commit index; may be behind.
     pub commit: u64,
 }
 
-/// Whose store it is, and whom it knows.
+/// The owner of a store, and the stores that it has accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct StoreOwner {
     /// The voter.
     pub own: u64,
-    /// All voters, in order.
+    /// All voters, in ascending order.
     pub voters: Vec<u64>,
-    /// Whether all others welcomed it: it may vote.
+    /// Whether all other voters have accepted this store, so that it may vote.
     pub admitted: bool,
-    /// The identities of the others' stores.
+    /// The identities of the other voters' stores.
     pub stores: BTreeMap<u64, u64>,
 }
 
-/// What is to be stored, all or nothing.
+/// Changes to be stored atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// From 1, one more each time.
+    /// Sequence number, starting at 1.
     pub number: u64,
-    /// Replaces what is stored, if there.
-    pub place: Option<Place>,
-    /// Replaces what is stored, if there.
+    /// Replaces the stored owner record, if present.
+    pub owner: Option<StoreOwner>,
+    /// Replaces the stored promise, if present.
     pub promise: Option<Promise>,
-    /// Replaces what is stored, if there.
+    /// Replaces the stored snapshot, if present.
     pub snapshot: Option<Kept>,
-    /// All entries go before any of this batch come: the snapshot came from another voter.
+    /// All stored entries are removed before those of this batch are added: the snapshot came from another
+    /// voter.
     pub clear: bool,
-    /// Entries of this place and any after it go, then these come.
+    /// Stored entries from the first index on are removed, then these are added.
     pub entries: Vec<Entry>,
-    /// Then entries up to here go.
+    /// Entries up to this position are then removed.
     pub trim: Option<Mark>,
 }
 
-/// What a store held at the start.
+/// The contents of a store at the start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Found {
-    /// The store's identity, drawn at random when it was made.
+    /// The identity of the store, a random number chosen when it was created.
     pub store: u64,
-    /// The last batch stored, 0 if none.
+    /// The last stored batch, 0 if none.
     pub batch: u64,
-    /// Whose it is; nobody's yet if it was just made.
-    pub place: Option<Place>,
-    /// The engine's promise.
+    /// The owner; none if the store was just created.
+    pub owner: Option<StoreOwner>,
+    /// The engine's hard state.
     pub promise: Promise,
     /// The last snapshot.
     pub snapshot: Option<Kept>,
-    /// Up to here entries were removed.
+    /// Entries up to this position have been removed.
     pub trimmed: Mark,
     /// The entries, without a gap from the one after `trimmed`.
     pub entries: Vec<Entry>,
 }
 
 impl Found {
-    /// What an empty store of this identity holds.
+    /// Returns the contents of an empty store with this identity.
     pub fn new(store: u64) -> Found {
         Found { store, ..Found::default() }
     }
 
-    /// What the store holds after a batch.
+    /// Applies a batch.
     pub fn apply(&mut self, batch: &Batch) {
         self.batch = batch.number;
-        if let Some(place) = &batch.place {
-            self.place = Some(place.clone());
+        if let Some(owner) = &batch.owner {
+            self.owner = Some(owner.clone());
         }
         if let Some(promise) = batch.promise {
             self.promise = promise;
@@ -337,11 +343,11 @@
         }
     }
 
-    /// Whether nothing in it contradicts the rest; what does, if so.
+    /// Checks that the contents are consistent.
     ///
     /// # Errors
     ///
-    /// A gap in the log, a term that falls, a snapshot before what was trimmed.
+    /// Returns an error for a gap in the log, a decreasing term, or a snapshot before the trimmed position.
     pub fn check(&self) -> Result<(), String> {
         let mut last = self.trimmed;
         for entry in &self.entries {
@@ -355,7 +361,7 @@
             return Err(format!("trimmed to {:?}, snapshot at {snapshot:?}", self.trimmed));
         }
         if snapshot.index > last.index || self.promise.commit > last.index || last.term > self.promise.term {
-            return Err(format!("the log ends at {last:?}, promised {:?}", self.promise));
+            return Err(format!("the log ends at {last:?}, which contradicts {:?}", self.promise));
         }
         Ok(())
     }
--- a/crates/lemoncleat-agreement/src/log.rs
+++ b/crates/lemoncleat-agreement/src/log.rs
@@ -1,24 +1,25 @@
-//! The engine's storage in memory. What it is told to keep is noted in a [`Batch`] for the disk.
+//! The engine's storage in memory. Changes are collected in a [`Batch`] for the disk.
 
 use std::collections::VecDeque;
 
 use raft::eraftpb::{ConfState, Entry as RaftEntry, Snapshot};
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-use crate::message::{entry_of, entry_to};
-use crate::{Batch, Entry, Found, Kept, Mark, Place, Promise};
+use crate::message::{from_engine_entry, to_engine_entry};
+use crate::{Batch, Entry, Found, Kept, Mark, Promise, StoreOwner};
 
-/// The log as the disk will have it once all batches are stored.
+/// The log as it will be on disk once all batches are stored.
 pub(crate) struct Log {
     voters: Vec<u64>,
     pub promise: Promise,
     pub snapshot: Kept,
     pub trimmed: Mark,
     pub entries: VecDeque<Entry>,
-    /// What is not yet given to the disk.
-    noted: Batch,
-    /// Whether something rests on `noted`: all but a mere advance of what is known as decided.
-    urgent: bool,
+    /// Changes that have not been handed to the disk yet.
+    pending: Batch,
+    /// Whether an output depends on `pending`. It is set by all changes except an advance of the commit index
+    /// alone.
+    flush_needed: bool,
 }
 
 impl Log {
@@ -29,72 +30,72 @@
             snapshot: found.snapshot.unwrap_or_default(),
             trimmed: found.trimmed,
             entries: found.entries.into(),
-            noted: Batch { number: found.batch + 1, ..Batch::default() },
-            urgent: false,
+            pending: Batch { number: found.batch + 1, ..Batch::default() },
+            flush_needed: false,
         }
     }
 
-    /// What is to be stored now, if anything rests on it.
+    /// Returns the batch to be stored now, if an output depends on it.
     pub fn take_batch(&mut self) -> Option<Batch> {
-        if !self.urgent {
+        if !self.flush_needed {
             return None;
         }
-        self.urgent = false;
-        let next = Batch { number: self.noted.number + 1, ..Batch::default() };
-        Some(std::mem::replace(&mut self.noted, next))
+        self.flush_needed = false;
+        let next = Batch { number: self.pending.number + 1, ..Batch::default() };
+        Some(std::mem::replace(&mut self.pending, next))
     }
 
-    pub fn set_place(&mut self, place: &Place) {
-        self.noted.place = Some(place.clone());
-        self.urgent = true;
+    pub fn set_owner(&mut self, owner: &StoreOwner) {
+        self.pending.owner = Some(owner.clone());
+        self.flush_needed = true;
     }
 
     pub fn set_promise(&mut self, promise: Promise) {
-        self.urgent |= (promise.term, promise.vote) != (self.promise.term, self.promise.vote);
+        self.flush_needed |= (promise.term, promise.vote) != (self.promise.term, self.promise.vote);
         self.promise = promise;
         let kept = if planted!(ForgetsVote) { Promise { vote: 0, ..promise } } else { promise };
-        self.noted.promise = Some(kept);
+        self.pending.promise = Some(kept);
     }
 
-    /// Appends entries without a gap; those of their places and after go.
+    /// Appends consecutive entries. Existing entries from the first index on are removed.
     pub fn append(&mut self, entries: Vec<Entry>) {
         let Some(first) = entries.first().map(|entry| entry.at.index) else { return };
-        self.urgent = true;
+        self.flush_needed = true;
         while self.entries.back().is_some_and(|entry| entry.at.index >= first) {
             self.entries.pop_back();
         }
-        self.noted.entries.retain(|entry| entry.at.index < first);
-        self.noted.entries.extend_from_slice(&entries);
+        self.pending.entries.retain(|entry| entry.at.index < first);
+        self.pending.entries.extend_from_slice(&entries);
         self.entries.extend(entries);
     }
 
-    /// Takes another voter's snapshot in place of the log.
+    /// Replaces the log with another voter's snapshot.
     pub fn install(&mut self, snapshot: Kept) {
-        self.urgent = true;
+        self.flush_needed = true;
         self.entries.clear();
-        self.noted.entries.clear();
-        self.noted.trim = None;
+        self.pending.entries.clear();
+        self.pending.trim = None;
         self.trimmed = snapshot.at;
-        self.noted.clear = true;
-        self.noted.snapshot = Some(snapshot.clone());
+        self.pending.clear = true;
+        self.pending.snapshot = Some(snapshot.clone());
         self.snapshot = snapshot;
     }
 
-    /// Takes the own state machine's snapshot, and removes entries up to `trim`.
-    pub fn shorten(&mut self, index: u64, bytes: Vec<u8>, trim: u64) -> bool {
+    /// Adopts a snapshot of the own state machine, and removes entries up to `trim`.
+    pub fn compact(&mut self, index: u64, bytes: Vec<u8>, trim: u64) -> bool {
         let Some(term) = self.term_at(index) else { return false };
         if index <= self.snapshot.at.index {
             return false;
         }
-        self.urgent = true;
+        self.flush_needed = true;
         self.snapshot = Kept { at: Mark { index, term }, bytes };
-        self.noted.snapshot = Some(self.snapshot.clone());
+        self.pending.snapshot = Some(self.snapshot.clone());
         if let Some(term) = self.term_at(trim.min(index)) {
             self.trimmed = Mark { index: trim.min(index), term };
             while self.entries.front().is_some_and(|entry| entry.at.index <= self.trimmed.index) {
                 self.entries.pop_front();
             }
-            self.noted.trim = Some(self.trimmed);
+            self.pending.trim = Some(self.trimmed);
         }
         true
     }
@@ -103,7 +104,7 @@
         self.entries.back().map_or(self.trimmed, |entry| entry.at)
     }
 
-    /// The term at a place, if it is known.
+    /// Returns the term at an index, if it is known.
     pub fn term_at(&self, index: u64) -> Option<u64> {
         if index == self.trimmed.index {
             return Some(self.trimmed.term);
@@ -112,8 +113,8 @@
     }
 
     pub fn get(&self, index: u64) -> Option<&Entry> {
-        let place = index.checked_sub(self.trimmed.index + 1)?;
-        self.entries.get(usize::try_from(place).ok()?)
+        let offset = index.checked_sub(self.trimmed.index + 1)?;
+        self.entries.get(usize::try_from(offset).ok()?)
     }
 }
 
@@ -122,7 +123,7 @@
         let mut state = RaftState::default();
         state.hard_state.term = self.promise.term;
         state.hard_state.vote = self.promise.vote;
-        // What the snapshot holds was decided.
+        // Everything in the snapshot was decided.
         state.hard_state.commit = self.promise.commit.max(self.snapshot.at.index);
         state.conf_state.voters.clone_from(&self.voters);
         Ok(state)
@@ -149,7 +150,7 @@
             if size > max && !entries.is_empty() {
                 break;
             }
-            entries.push(entry_to(entry.clone()));
+            entries.push(to_engine_entry(entry.clone()));
         }
         Ok(entries)
     }
@@ -175,12 +176,12 @@
         if at.index == 0 || at.index < request_index {
             return Err(StorageError::SnapshotTemporarilyUnavailable.into());
         }
-        Ok(snapshot_to(self.snapshot.clone(), &self.voters))
+        Ok(to_engine_snapshot(self.snapshot.clone(), &self.voters))
     }
 }
 
-/// The engine's form of a snapshot. Voters never change, so they are those of the settings.
-pub(crate) fn snapshot_to(kept: Kept, voters: &[u64]) -> Snapshot {
+/// Converts a snapshot for the engine. The set of voters never changes, so it is taken from the settings.
+pub(crate) fn to_engine_snapshot(kept: Kept, voters: &[u64]) -> Snapshot {
     let mut snapshot = Snapshot { data: kept.bytes.into(), ..Snapshot::default() };
     let metadata = snapshot.mut_metadata();
     metadata.index = kept.at.index;
@@ -189,7 +190,7 @@
     snapshot
 }
 
-/// Entries of the engine as they are kept.
-pub(crate) fn entries_of(entries: Vec<RaftEntry>) -> Vec<Entry> {
-    entries.into_iter().map(entry_of).collect()
+/// Converts entries of the engine.
+pub(crate) fn from_engine_entries(entries: Vec<RaftEntry>) -> Vec<Entry> {
+    entries.into_iter().map(from_engine_entry).collect()
 }
--- a/crates/lemoncleat-agreement/src/message.rs
+++ b/crates/lemoncleat-agreement/src/message.rs
@@ -1,36 +1,36 @@
-//! What members say to each other. The engine's own encoding (protobuf) is never read from outside: its messages
-//! are turned into [`Said`], which has a field for each that is used here.
+//! Messages between members. The engine's own encoding (protobuf) is never parsed from the network: its
+//! messages are converted to [`EngineMessage`], which has a field for each one that is used here.
 
 use raft::eraftpb::{Entry as RaftEntry, Message, MessageType};
 use serde::{Deserialize, Serialize};
 
-use crate::log::{entries_of, snapshot_to};
+use crate::log::{from_engine_entries, to_engine_snapshot};
 use crate::{Entry, Kept, Mark};
 
-/// The longest message that is read, in bytes.
+/// Maximum size of an accepted message in bytes.
 pub(crate) const MAX_MESSAGE: usize = 16 * 1024 * 1024;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Envelope {
-    /// The sender's store; 0 for a follower.
+    /// The identity of the sender's store; 0 for a follower.
     pub store: u64,
-    pub word: Word,
+    pub payload: Payload,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) enum Word {
-    /// May this new store be the sender's?
-    Ask,
-    /// Whether the asked voter knows the asker under the store it asked for, and no other.
-    Answer { asked: u64, welcome: bool },
-    /// From the engine.
-    Engine(Said),
-    /// What was decided after this place?
-    Pull { after: u64 },
-    /// Decided from after `after` up to `upto`; places without a command are left out.
-    Learn { after: u64, upto: u64, commands: Vec<(u64, Vec<u8>)> },
-    /// The entries asked for are gone; this is the state after them.
-    LearnSnapshot(Kept),
+pub(crate) enum Payload {
+    /// Asks whether this new store is accepted as the sender's.
+    AdmissionRequest,
+    /// The voter's answer: whether it knows the requesting voter under the store `requested`, and no other.
+    AdmissionResponse { requested: u64, accepted: bool },
+    /// A message of the engine.
+    Engine(EngineMessage),
+    /// Requests the commands decided after this index.
+    FetchDecided { after: u64 },
+    /// The commands decided after `after` and up to `upto`. Indexes without a command are left out.
+    Decided { after: u64, upto: u64, commands: Vec<(u64, Vec<u8>)> },
+    /// The requested entries have been removed; this is the state after them.
+    DecidedSnapshot(Kept),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -62,7 +62,7 @@
 
 /// A message of the engine. The fields are Raft's.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Said {
+pub(crate) struct EngineMessage {
     pub kind: Kind,
     pub term: u64,
     pub log_term: u64,
@@ -75,30 +75,30 @@
     pub reject_hint: u64,
 }
 
-impl Said {
-    /// The engine's message in our form; none for a kind that is not used here.
-    pub fn of(mut message: Message) -> Option<Said> {
+impl EngineMessage {
+    /// Converts an engine message. Returns none for a kind that is not used here.
+    pub fn from_engine(mut message: Message) -> Option<EngineMessage> {
         let kind = KINDS.iter().find(|(_, kind)| *kind == message.get_msg_type())?.0;
         let snapshot = (kind == Kind::Snapshot).then(|| {
             let mut snapshot = message.take_snapshot();
             let metadata = snapshot.take_metadata();
             Kept { at: Mark { index: metadata.index, term: metadata.term }, bytes: snapshot.data.to_vec() }
         });
-        Some(Said {
+        Some(EngineMessage {
             kind,
             term: message.term,
             log_term: message.log_term,
             index: message.index,
             commit: message.commit,
             commit_term: message.commit_term,
-            entries: entries_of(message.take_entries().into()),
+            entries: from_engine_entries(message.take_entries().into()),
             snapshot,
             reject: message.reject,
             reject_hint: message.reject_hint,
         })
     }
 
-    pub fn into_message(self, from: u64, to: u64, voters: &[u64]) -> Message {
+    pub fn into_engine(self, from: u64, to: u64, voters: &[u64]) -> Message {
         let mut message = Message::default();
         if let Some((_, kind)) = KINDS.iter().find(|(kind, _)| *kind == self.kind) {
             message.set_msg_type(*kind);
@@ -110,9 +110,9 @@
         message.index = self.index;
         message.commit = self.commit;
         message.commit_term = self.commit_term;
-        message.set_entries(self.entries.into_iter().map(entry_to).collect::<Vec<_>>().into());
+        message.set_entries(self.entries.into_iter().map(to_engine_entry).collect::<Vec<_>>().into());
         if let Some(kept) = self.snapshot {
-            message.set_snapshot(snapshot_to(kept, voters));
+            message.set_snapshot(to_engine_snapshot(kept, voters));
         }
         message.reject = self.reject;
         message.reject_hint = self.reject_hint;
@@ -120,7 +120,7 @@
     }
 }
 
-pub(crate) fn entry_of(entry: RaftEntry) -> Entry {
+pub(crate) fn from_engine_entry(entry: RaftEntry) -> Entry {
     Entry {
         at: Mark { index: entry.index, term: entry.term },
         command: entry.data.to_vec(),
@@ -128,7 +128,7 @@
     }
 }
 
-pub(crate) fn entry_to(entry: Entry) -> RaftEntry {
+pub(crate) fn to_engine_entry(entry: Entry) -> RaftEntry {
     RaftEntry {
         index: entry.at.index,
         term: entry.at.term,
@@ -139,14 +139,14 @@
 }
 
 impl Envelope {
-    pub fn read(bytes: &[u8]) -> Option<Envelope> {
+    pub fn decode(bytes: &[u8]) -> Option<Envelope> {
         if bytes.len() > MAX_MESSAGE {
             return None;
         }
         postcard::from_bytes(bytes).ok()
     }
 
-    pub fn write(store: u64, word: Word) -> Option<Vec<u8>> {
-        postcard::to_allocvec(&Envelope { store, word }).ok().filter(|bytes| bytes.len() <= MAX_MESSAGE)
+    pub fn encode(store: u64, payload: Payload) -> Option<Vec<u8>> {
+        postcard::to_allocvec(&Envelope { store, payload }).ok().filter(|bytes| bytes.len() <= MAX_MESSAGE)
     }
 }
--- a/crates/lemoncleat-agreement/src/planted.rs
+++ b/crates/lemoncleat-agreement/src/planted.rs
@@ -1,19 +1,19 @@
-//! Faults that a test plants in this package to see that its checks find them.
+//! Faults that tests inject into this package, to show that their checks detect them.
 
 use std::cell::Cell;
 
-/// A fault in the code, switched on for one thread.
+/// A fault in the code, enabled for one thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plant {
-    /// What rests on a batch is given out before it is stored.
+    /// Outputs that depend on a batch are returned before it is stored.
     SendsEarly,
-    /// A store in place of a lost one is welcomed and heard.
-    WelcomesAll,
+    /// A new store in place of a lost one is admitted, and its messages are accepted.
+    AdmitsAnyStore,
     /// A vote is not stored.
     ForgetsVote,
-    /// A command is handed out again with a later one.
-    HandsOutTwice,
-    /// A failed batch is taken for stored.
+    /// A command is delivered twice.
+    DeliversTwice,
+    /// A failed batch is taken as stored.
     IgnoresFailure,
 }
 
@@ -21,11 +21,11 @@
     static PLANTED: Cell<Option<Plant>> = const { Cell::new(None) };
 }
 
-/// Plants a fault on this thread, or takes it away.
+/// Injects a fault on this thread, or removes it.
 pub fn plant(fault: Option<Plant>) {
     PLANTED.set(fault);
 }
 
-pub(crate) fn is(fault: Plant) -> bool {
+pub(crate) fn active(fault: Plant) -> bool {
     PLANTED.get() == Some(fault)
 }
--- a/crates/lemoncleat-agreement/src/voter.rs
+++ b/crates/lemoncleat-agreement/src/voter.rs
@@ -1,4 +1,4 @@
-//! One voter: the engine, its log, and what waits for the disk.
+//! A voter: the engine, its log, and the outputs that wait for the disk.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,33 +8,33 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::admission::{Admission, Standing, Verdict};
-use crate::log::{entries_of, Log};
-use crate::message::{Envelope, Kind, Said, Word};
+use crate::admission::{Admission, Outcome, VoterState};
+use crate::log::{from_engine_entries, Log};
+use crate::message::{EngineMessage, Envelope, Kind, Payload};
 use crate::{
-    Batch, Follower, Found, Input, Kept, Mark, Micros, Notice, Output, Place, Promise, Refused, Settings,
-    Stats, MAX_SNAPSHOT,
+    Batch, Follower, Found, Input, Kept, Mark, Micros, Notice, Output, Promise, Settings, StartError, Stats,
+    StoreOwner, MAX_SNAPSHOT,
 };
 
-/// Proposals that wait or whose end is not known.
+/// Maximum number of proposals that are queued or whose outcome is unknown.
 const MAX_PROPOSALS: usize = 1024;
-/// Outputs that wait for the disk, before the voter hears nothing more.
-const MAX_HELD: usize = 8192;
-/// Bytes of commands in one message, but for the last of them: a carrier takes half a MiB.
-const MAX_JOINED: usize = 256 * 1024;
-/// Bytes of commands that wait to be agreed at a leader.
-const MAX_UNCOMMITTED: u64 = 16 * 1024 * 1024;
+/// Number of outputs waiting for the disk above which received messages are dropped.
+const MAX_DEFERRED: usize = 8192;
+/// Bytes of commands after which a message takes no further command: the transport accepts half a MiB.
+const MAX_MESSAGE_COMMAND_BYTES: usize = 256 * 1024;
+/// Bytes of commands at a leader that wait to be decided.
+const MAX_UNCOMMITTED_BYTES: u64 = 16 * 1024 * 1024;
 /// Bytes of commands in an answer to a follower.
-const MAX_LEARNED: usize = 256 * 1024;
-/// After how many election times nothing more is hoped of a proposal.
-const LOST_AFTER: i64 = 5;
-/// The longest pause between two tries at a store that fails, in election times.
-const MAX_PAUSE: i64 = 64;
+const MAX_CATCH_UP_BYTES: usize = 256 * 1024;
+/// Number of election times after which a proposal is given up.
+const PROPOSAL_TIMEOUT_ELECTIONS: i64 = 5;
+/// Maximum backoff between two attempts to write a failing store, in election times.
+const MAX_BACKOFF_ELECTIONS: i64 = 64;
 
-/// The store fails.
-struct Stall {
-    again: Micros,
-    pause: Micros,
+/// The pending attempt to write a failing store.
+struct StoreRetry {
+    retry_at: Micros,
+    backoff: Micros,
 }
 
 /// A voter without I/O.
@@ -43,57 +43,58 @@
     store: u64,
     admission: Admission,
     node: RawNode<Log>,
-    /// Learns in place of the engine when the store was lost.
+    /// Learns in place of the engine if the store was lost.
     follower: Follower,
-    random: SmallRng,
-    /// The election time drawn, and for which state of the engine.
-    drawn: (usize, (u64, StateRole, u64)),
-    /// Marks the proposals of this start.
+    rng: SmallRng,
+    /// The randomized election timeout, and the state of the engine that it was chosen for.
+    election_timeout: (usize, (u64, StateRole, u64)),
+    /// Identifies the proposals made since this start.
     start: u64,
-    /// What rests on the batch that is being stored.
-    flight: Option<(Batch, Vec<Output>)>,
-    /// What rests on the batch after it.
-    held: Vec<Output>,
-    stall: Option<Stall>,
+    /// The batch being stored, and the outputs that depend on it.
+    in_flight: Option<(Batch, Vec<Output>)>,
+    /// The outputs that depend on the next batch.
+    deferred: Vec<Output>,
+    store_retry: Option<StoreRetry>,
     queue: VecDeque<(u64, Vec<u8>)>,
-    /// Proposals that went to the engine, and until when they are hoped for.
-    hoped: BTreeMap<u64, Micros>,
-    /// The last index handed out or skipped.
-    given: u64,
-    snapshot_asked: Option<u64>,
-    /// No snapshot is asked for before this index.
-    snapshot_from: u64,
+    /// Proposals passed to the engine, with the time at which they are given up.
+    outstanding: BTreeMap<u64, Micros>,
+    /// The last index delivered or skipped.
+    delivered_index: u64,
+    requested_snapshot: Option<u64>,
+    /// No snapshot is requested before this index.
+    next_snapshot: u64,
     leader: Option<u64>,
-    tick_at: Micros,
-    ask_at: Micros,
+    next_tick: Micros,
+    next_request: Micros,
     stats: Stats,
 }
 
 impl Voter {
-    /// A voter with what its store held. `seed` decides its election times and marks its proposals; it should
-    /// differ at each start.
+    /// Returns a voter with the contents of its store. `seed` determines its election timeouts and marks its
+    /// proposals; it should differ at each start.
     ///
     /// # Errors
     ///
-    /// When settings are wrong, or the store is another's or contradicts itself.
-    pub fn new(settings: Settings, found: Found, seed: u64) -> Result<Voter, Refused> {
+    /// Returns an error if the settings are invalid, or if the store belongs to another voter or is
+    /// inconsistent.
+    pub fn new(settings: Settings, contents: Found, seed: u64) -> Result<Voter, StartError> {
         settings.check()?;
-        found.check().map_err(Refused::Broken)?;
+        contents.check().map_err(StartError::Inconsistent)?;
         let mut voters = settings.voters.clone();
         voters.sort_unstable();
-        let is_new = found.place.is_none();
-        let place = found.place.clone().unwrap_or_else(|| Place {
+        let is_new = contents.owner.is_none();
+        let owner = contents.owner.clone().unwrap_or_else(|| StoreOwner {
             own: settings.own,
             voters: voters.clone(),
-            ..Place::default()
+            ..StoreOwner::default()
         });
-        if place.own != settings.own || place.voters != voters {
-            return Err(Refused::OtherPlace(place));
+        if owner.own != settings.own || owner.voters != voters {
+            return Err(StartError::ForeignStore(owner));
         }
-        let store = found.store;
-        let mut log = Log::new(voters.clone(), found);
+        let store = contents.store;
+        let mut log = Log::new(voters.clone(), contents);
         if is_new {
-            log.set_place(&place);
+            log.set_owner(&owner);
         }
         let restored = log.snapshot.clone();
         let config = Config {
@@ -101,146 +102,151 @@
             election_tick: settings.timing.election,
             heartbeat_tick: settings.timing.heartbeat,
             applied: restored.at.index,
-            max_size_per_msg: MAX_JOINED as u64,
+            max_size_per_msg: MAX_MESSAGE_COMMAND_BYTES as u64,
             max_inflight_msgs: 64,
             check_quorum: true,
             pre_vote: true,
-            max_uncommitted_size: MAX_UNCOMMITTED,
-            max_committed_size_per_ready: MAX_JOINED as u64,
+            max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+            max_committed_size_per_ready: MAX_MESSAGE_COMMAND_BYTES as u64,
             ..Config::default()
         };
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, log, &logger).map_err(|error| Refused::Broken(error.to_string()))?;
-        let mut random = SmallRng::seed_from_u64(seed);
-        let mut held = Vec::new();
+        let node = RawNode::new(&config, log, &logger)
+            .map_err(|error| StartError::Inconsistent(error.to_string()))?;
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let mut deferred = Vec::new();
         if restored.at.index > 0 {
-            held.push(Output::Restore { index: restored.at.index, bytes: restored.bytes });
+            deferred.push(Output::Restore { index: restored.at.index, bytes: restored.bytes });
         }
         Ok(Voter {
             follower: Follower::new(settings.own, &voters, settings.timing, seed),
-            admission: Admission::new(place, store),
+            admission: Admission::new(owner, store),
             store,
             node,
-            drawn: (0, (0, StateRole::Leader, 0)),
-            start: random.random(),
-            random,
-            flight: None,
-            held,
-            stall: None,
+            election_timeout: (0, (0, StateRole::Leader, 0)),
+            start: rng.random(),
+            rng,
+            in_flight: None,
+            deferred,
+            store_retry: None,
             queue: VecDeque::new(),
-            hoped: BTreeMap::new(),
-            given: restored.at.index,
-            snapshot_asked: None,
-            snapshot_from: restored.at.index + settings.snapshot_every,
+            outstanding: BTreeMap::new(),
+            delivered_index: restored.at.index,
+            requested_snapshot: None,
+            next_snapshot: restored.at.index + settings.snapshot_every,
             leader: None,
-            tick_at: 0,
-            ask_at: 0,
+            next_tick: 0,
+            next_request: 0,
             stats: Stats::default(),
             settings,
         })
     }
 
-    /// Who leads, as far as this voter knows.
+    /// Returns the leader, as far as this voter knows.
     pub fn leader(&self) -> Option<u64> {
         self.leader
     }
 
-    /// Whether it takes part in decisions now.
+    /// Returns whether the voter takes part in decisions now.
     pub fn is_voting(&self) -> bool {
-        self.admission.standing == Standing::Voting && self.stall.is_none()
+        self.admission.state == VoterState::Voting && self.store_retry.is_none()
     }
 
-    /// Counts since the start.
+    /// Returns the counters since the start.
     pub fn stats(&self) -> Stats {
         let log = self.node.store();
         let term = self.node.raft.term;
-        Stats { log: log.entries.len() as u64, term, index: self.given, ..self.stats }
+        Stats { log: log.entries.len() as u64, term, index: self.delivered_index, ..self.stats }
     }
 
-    /// When it wants [`Input::Timeout`].
+    /// Returns the time at which the voter needs [`Input::Timeout`].
     pub fn wake(&self) -> Option<Micros> {
-        match &self.stall {
-            Some(stall) => Some(stall.again),
-            None if self.admission.standing == Standing::Lost => self.follower.wake(),
-            None => Some(self.tick_at),
+        match &self.store_retry {
+            Some(store_retry) => Some(store_retry.retry_at),
+            None if self.admission.state == VoterState::StoreLost => self.follower.wake(),
+            None => Some(self.next_tick),
         }
     }
 
-    /// Takes an input at a time.
+    /// Handles an input at the given time.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard { from, bytes } => self.hear(now, from, bytes),
+            Input::Heard { from, bytes } => self.handle_message(now, from, bytes),
             Input::Propose { token, command } => self.propose(token, command, out),
-            Input::Stored(number) => self.stored(number, out),
-            Input::StoreFailed(number, _) if planted!(IgnoresFailure) => self.stored(number, out),
-            Input::StoreFailed(number, why) => self.store_failed(now, number, why, out),
-            Input::Snapshot { index, bytes } => self.snapshot(index, bytes),
-            Input::Timeout => self.timeout(now, out),
+            Input::Stored(number) => self.handle_stored(number, out),
+            Input::StoreFailed(number, _) if planted!(IgnoresFailure) => self.handle_stored(number, out),
+            Input::StoreFailed(number, why) => self.handle_store_failure(now, number, why, out),
+            Input::Snapshot { index, bytes } => self.handle_snapshot(index, bytes),
+            Input::Timeout => self.handle_timeout(now, out),
         }
-        self.settle(now, out);
+        self.process(now, out);
     }
 
-    fn election(&self) -> Micros {
+    fn election_time(&self) -> Micros {
         let timing = self.settings.timing;
         timing.tick.saturating_mul(timing.election as Micros)
     }
 
-    fn hear(&mut self, now: Micros, from: u64, bytes: &[u8]) {
+    fn handle_message(&mut self, now: Micros, from: u64, bytes: &[u8]) {
         point!(AGREE_HEAR);
-        if self.stall.is_some() || self.held.len() > MAX_HELD {
+        if self.store_retry.is_some() || self.deferred.len() > MAX_DEFERRED {
             self.stats.shed += 1;
             return;
         }
-        let Some(Envelope { store, word }) = Envelope::read(bytes) else {
+        let Some(Envelope { store, payload }) = Envelope::decode(bytes) else {
             self.stats.unreadable += 1;
             return;
         };
-        if let Word::Pull { after } = word {
-            return self.teach(from, after);
+        if let Payload::FetchDecided { after } = payload {
+            return self.send_decided(from, after);
         }
         if from == self.settings.own || !self.settings.voters.contains(&from) {
             self.stats.refused += 1;
             return;
         }
-        match word {
-            Word::Ask => {
-                let Some((welcome, changed)) = self.admission.asked(from, store) else { return };
+        match payload {
+            Payload::AdmissionRequest => {
+                let Some((accepted, changed)) = self.admission.handle_request(from, store) else { return };
                 if changed {
-                    self.node.mut_store().set_place(&self.admission.place);
+                    self.node.mut_store().set_owner(&self.admission.owner);
                 }
-                self.tell(from, Word::Answer { asked: store, welcome });
+                self.send(from, Payload::AdmissionResponse { requested: store, accepted });
             }
-            Word::Answer { asked, welcome } => match self.admission.answered(from, asked, welcome) {
-                Verdict::Nothing => {}
-                Verdict::Admitted => {
-                    self.node.mut_store().set_place(&self.admission.place);
-                    self.held.push(Output::Notice(Notice::Admitted));
+            Payload::AdmissionResponse { requested, accepted } => {
+                match self.admission.handle_response(from, requested, accepted) {
+                    Outcome::Unchanged => {}
+                    Outcome::Admitted => {
+                        self.node.mut_store().set_owner(&self.admission.owner);
+                        self.deferred.push(Output::Notice(Notice::Admitted));
+                    }
+                    Outcome::StoreLost => self.deferred.push(Output::Notice(Notice::StoreLost { by: from })),
                 }
-                Verdict::Lost => self.held.push(Output::Notice(Notice::StoreLost { by: from })),
-            },
-            Word::Engine(said) => {
-                let voting = self.admission.standing == Standing::Voting;
-                if !voting || !self.admission.knows(from, store) || !self.is_possible(&said) {
+            }
+            Payload::Engine(engine_message) => {
+                let voting = self.admission.state == VoterState::Voting;
+                if !voting || !self.admission.accepts(from, store) || !self.is_valid(&engine_message) {
                     self.stats.refused += 1;
                     return;
                 }
-                let message = said.into_message(from, self.settings.own, &self.settings.voters);
+                let message = engine_message.into_engine(from, self.settings.own, &self.settings.voters);
                 self.step(message);
             }
-            word if self.admission.standing == Standing::Lost => {
-                self.follower.hear(now, word, &mut self.held)
+            payload if self.admission.state == VoterState::StoreLost => {
+                self.follower.handle_payload(now, payload, &mut self.deferred)
             }
             _ => {}
         }
     }
 
-    /// Whether a message can come from a voter that keeps its promises. The engine relies on it: it panics at some
-    /// that can't.
-    fn is_possible(&self, said: &Said) -> bool {
+    /// Returns whether a correct voter could have sent this message. The engine relies on this check: it
+    /// panics on some messages that no correct voter sends.
+    fn is_valid(&self, engine_message: &EngineMessage) -> bool {
         let raft = &self.node.raft;
         let log = &raft.raft_log;
-        let entries = &said.entries;
-        if said.term > u64::MAX / 2 || (said.term == 0) != (said.kind == Kind::Propose) {
+        let entries = &engine_message.entries;
+        if engine_message.term > u64::MAX / 2
+            || (engine_message.term == 0) != (engine_message.kind == Kind::Propose)
+        {
             return false;
         }
         if entries
@@ -249,67 +255,72 @@
         {
             return false;
         }
-        match said.kind {
+        match engine_message.kind {
             Kind::Propose => {
                 let last = log.last_index() - self.node.store().snapshot.at.index;
                 (1..=MAX_PROPOSALS).contains(&entries.len()) && last < 4 * self.settings.snapshot_every
             }
             Kind::Append => {
-                let mut before = Mark { index: said.index, term: said.log_term };
+                let mut before = Mark { index: engine_message.index, term: engine_message.log_term };
                 let in_order = entries.iter().all(|entry| {
-                    let good = before.index.checked_add(1) == Some(entry.at.index)
-                        && (before.term..=said.term).contains(&entry.at.term);
+                    let valid = before.index.checked_add(1) == Some(entry.at.index)
+                        && (before.term..=engine_message.term).contains(&entry.at.term);
                     before = entry.at;
-                    good
+                    valid
                 });
-                // What is decided here is in the log of every later leader.
+                // An entry that is decided here is in the log of every later leader.
                 let decided = log.term(log.committed).unwrap_or(0);
-                in_order && (said.index < log.committed || said.log_term >= decided)
+                in_order && (engine_message.index < log.committed || engine_message.log_term >= decided)
             }
-            Kind::Heartbeat => said.commit <= log.last_index(),
-            Kind::Snapshot => said.snapshot.as_ref().is_some_and(|kept| {
-                kept.at.index > 0 && kept.at.term <= said.term && kept.bytes.len() <= MAX_SNAPSHOT
+            Kind::Heartbeat => engine_message.commit <= log.last_index(),
+            Kind::Snapshot => engine_message.snapshot.as_ref().is_some_and(|kept| {
+                kept.at.index > 0 && kept.at.term <= engine_message.term && kept.bytes.len() <= MAX_SNAPSHOT
             }),
-            Kind::AppendResponse => said.term != raft.term || said.reject || said.index <= log.last_index(),
+            Kind::AppendResponse => {
+                engine_message.term != raft.term
+                    || engine_message.reject
+                    || engine_message.index <= log.last_index()
+            }
             _ => true,
         }
     }
 
     fn step(&mut self, message: Message) {
-        // Errors are about proposals that the engine drops, which are counted as lost in time.
+        // An error means that the engine dropped a proposal, which is reported as lost after its timeout.
         let _ = self.node.step(message);
-        self.pace();
+        self.set_election_timeout();
     }
 
-    /// The engine draws its election time from the thread's random source; ours is drawn from the seed.
-    fn pace(&mut self) {
+    /// Sets the election timeout. The engine would choose it from the thread's random source; here it is
+    /// derived from the seed, so that runs are reproducible.
+    fn set_election_timeout(&mut self) {
         let raft = &mut self.node.raft;
         let state = (raft.term, raft.state, raft.leader_id);
         let election = self.settings.timing.election;
-        if self.drawn.0 == 0 || self.drawn.1 != state {
-            self.drawn = (self.random.random_range(election..2 * election), state);
+        if self.election_timeout.0 == 0 || self.election_timeout.1 != state {
+            self.election_timeout = (self.rng.random_range(election..2 * election), state);
         }
-        if raft.randomized_election_timeout() != self.drawn.0 {
-            raft.set_randomized_election_timeout(self.drawn.0);
+        if raft.randomized_election_timeout() != self.election_timeout.0 {
+            raft.set_randomized_election_timeout(self.election_timeout.0);
         }
     }
 
-    /// Tells a follower what was decided after a place.
-    fn teach(&mut self, to: u64, after: u64) {
+    /// Sends a follower the commands decided after an index.
+    fn send_decided(&mut self, to: u64, after: u64) {
         let log = self.node.store();
-        if self.admission.standing != Standing::Voting || after >= self.given {
+        if self.admission.state != VoterState::Voting || after >= self.delivered_index {
             return;
         }
         if after < log.trimmed.index {
             let kept = log.snapshot.clone();
-            return self.tell(to, Word::LearnSnapshot(kept));
+            return self.send(to, Payload::DecidedSnapshot(kept));
         }
         let mut commands = Vec::new();
         let mut size = 0;
         let mut upto = after;
-        for entry in (after + 1..=self.given).map_while(|index| log.get(index)) {
+        for entry in (after + 1..=self.delivered_index).map_while(|index| log.get(index)) {
             size += entry.command.len() + 8;
-            if size > MAX_LEARNED && !commands.is_empty() {
+            if size > MAX_CATCH_UP_BYTES && !commands.is_empty() {
                 break;
             }
             upto = entry.at.index;
@@ -317,30 +328,30 @@
                 commands.push((upto, entry.command.clone()));
             }
         }
-        self.tell(to, Word::Learn { after, upto, commands });
+        self.send(to, Payload::Decided { after, upto, commands });
     }
 
-    fn tell(&mut self, to: u64, word: Word) {
-        if let Some(bytes) = Envelope::write(self.store, word) {
-            self.held.push(Output::Tell { to, bytes });
+    fn send(&mut self, to: u64, payload: Payload) {
+        if let Some(bytes) = Envelope::encode(self.store, payload) {
+            self.deferred.push(Output::Tell { to, bytes });
         }
     }
 
     fn propose(&mut self, token: u64, command: Vec<u8>, out: &mut Vec<Output>) {
         point!(AGREE_PROPOSE);
         let log = self.node.store();
-        let long = log.last().index - log.snapshot.at.index >= 4 * self.settings.snapshot_every;
-        let full = self.queue.len() + self.hoped.len() >= MAX_PROPOSALS;
-        let unfit = command.is_empty() || command.len() > self.settings.max_command;
-        if long || full || unfit || self.leader.is_none() || !self.is_voting() {
+        let log_full = log.last().index - log.snapshot.at.index >= 4 * self.settings.snapshot_every;
+        let queue_full = self.queue.len() + self.outstanding.len() >= MAX_PROPOSALS;
+        let invalid = command.is_empty() || command.len() > self.settings.max_command;
+        if log_full || queue_full || invalid || self.leader.is_none() || !self.is_voting() {
             out.push(Output::Lost { token });
             return;
         }
         self.queue.push_back((token, command));
     }
 
-    /// Gives what was proposed to the engine, joined.
-    fn flush(&mut self, now: Micros) {
+    /// Passes queued proposals to the engine, several per message.
+    fn submit_queued(&mut self, now: Micros) {
         while !self.queue.is_empty() {
             let mut message = Message::default();
             message.set_msg_type(MessageType::MsgPropose);
@@ -355,153 +366,158 @@
                     context: postcard::to_allocvec(&origin).unwrap_or_default().into(),
                     ..RaftEntry::default()
                 });
-                if size >= MAX_JOINED {
+                if size >= MAX_MESSAGE_COMMAND_BYTES {
                     break;
                 }
             }
             match self.node.step(message) {
                 Ok(()) => {
-                    let until = now.saturating_add(LOST_AFTER * self.election());
-                    self.hoped.extend(tokens.into_iter().map(|token| (token, until)));
+                    let until = now.saturating_add(PROPOSAL_TIMEOUT_ELECTIONS * self.election_time());
+                    self.outstanding.extend(tokens.into_iter().map(|token| (token, until)));
                 }
-                Err(_) => self.held.extend(tokens.into_iter().map(|token| Output::Lost { token })),
+                Err(_) => self.deferred.extend(tokens.into_iter().map(|token| Output::Lost { token })),
             }
         }
     }
 
-    fn snapshot(&mut self, index: u64, bytes: Vec<u8>) {
-        if self.snapshot_asked != Some(index) {
+    fn handle_snapshot(&mut self, index: u64, bytes: Vec<u8>) {
+        if self.requested_snapshot != Some(index) {
             return;
         }
-        self.snapshot_asked = None;
+        self.requested_snapshot = None;
         if bytes.len() > MAX_SNAPSHOT {
-            self.held.push(Output::Notice(Notice::SnapshotTooLong { bytes: bytes.len() }));
+            self.deferred.push(Output::Notice(Notice::SnapshotTooLong { bytes: bytes.len() }));
             return;
         }
-        // Some entries stay for voters that are a little behind.
+        // Some entries are retained for voters that are slightly behind.
         let trim = index - (self.settings.snapshot_every / 4).min(index);
         let trim = trim.max(self.node.store().trimmed.index);
-        self.node.mut_store().shorten(index, bytes, trim);
+        self.node.mut_store().compact(index, bytes, trim);
     }
 
-    fn timeout(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if let Some(stall) = &mut self.stall {
-            if now >= stall.again {
-                // Until the store answers; a driver that never does is asked no more.
-                stall.again = Micros::MAX;
-                if let Some((batch, _)) = &self.flight {
+    fn handle_timeout(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if let Some(store_retry) = &mut self.store_retry {
+            if now >= store_retry.retry_at {
+                // No further attempt until the store answers.
+                store_retry.retry_at = Micros::MAX;
+                if let Some((batch, _)) = &self.in_flight {
                     out.push(Output::Store(batch.clone()));
                 }
             }
             return;
         }
-        if self.admission.standing == Standing::Lost {
-            return self.follower.handle(now, Input::Timeout, &mut self.held);
+        if self.admission.state == VoterState::StoreLost {
+            return self.follower.handle(now, Input::Timeout, &mut self.deferred);
         }
-        if now < self.tick_at {
+        if now < self.next_tick {
             return;
         }
-        self.tick_at = now.saturating_add(self.settings.timing.tick);
-        let late: Vec<u64> =
-            self.hoped.iter().filter(|(_, until)| **until <= now).map(|(token, _)| *token).collect();
-        for token in late {
-            self.hoped.remove(&token);
+        self.next_tick = now.saturating_add(self.settings.timing.tick);
+        let timed_out: Vec<u64> =
+            self.outstanding.iter().filter(|(_, until)| **until <= now).map(|(token, _)| *token).collect();
+        for token in timed_out {
+            self.outstanding.remove(&token);
             out.push(Output::Lost { token });
         }
-        if self.held.len() > MAX_HELD {
+        if self.deferred.len() > MAX_DEFERRED {
             return;
         }
-        if self.admission.standing == Standing::Voting {
+        if self.admission.state == VoterState::Voting {
             self.node.tick();
-            self.pace();
-        } else if now >= self.ask_at {
-            self.ask_at = now.saturating_add(self.election());
-            for voter in self.admission.unanswered() {
-                self.tell(voter, Word::Ask);
+            self.set_election_timeout();
+        } else if now >= self.next_request {
+            self.next_request = now.saturating_add(self.election_time());
+            for voter in self.admission.unconfirmed() {
+                self.send(voter, Payload::AdmissionRequest);
             }
         }
     }
 
-    fn stored(&mut self, number: u64, out: &mut Vec<Output>) {
-        if self.flight.as_ref().is_none_or(|(batch, _)| batch.number != number) {
+    fn handle_stored(&mut self, number: u64, out: &mut Vec<Output>) {
+        if self.in_flight.as_ref().is_none_or(|(batch, _)| batch.number != number) {
             return;
         }
-        if let Some((_, rested)) = self.flight.take() {
+        if let Some((_, dependents)) = self.in_flight.take() {
             self.stats.batches += 1;
-            self.give_out(rested, out);
+            self.emit(dependents, out);
         }
-        if self.stall.take().is_some() {
+        if self.store_retry.take().is_some() {
             out.push(Output::Notice(Notice::StoreWorks));
         }
     }
 
-    /// The voter keeps still: what it would say rests on what it can't store.
-    fn store_failed(&mut self, now: Micros, number: u64, why: String, out: &mut Vec<Output>) {
-        if self.flight.as_ref().is_none_or(|(batch, _)| batch.number != number) {
+    /// Handles a failed write. The voter stays silent, since everything it would send depends on the batch
+    /// that can't be stored.
+    fn handle_store_failure(&mut self, now: Micros, number: u64, why: String, out: &mut Vec<Output>) {
+        if self.in_flight.as_ref().is_none_or(|(batch, _)| batch.number != number) {
             return;
         }
-        let election = self.election();
-        let pause = self.stall.take().map_or(election, |stall| (stall.pause * 2).min(MAX_PAUSE * election));
-        let again = now.saturating_add(pause);
-        self.stall = Some(Stall { again, pause });
-        out.push(Output::Notice(Notice::StoreFailed { why, again: pause }));
-        // What was decided stays so; what was to be said would be old by then.
-        let stays = |output: &Output| !matches!(output, Output::Tell { .. } | Output::Leader(_));
-        self.held.retain(stays);
-        if let Some((_, rested)) = &mut self.flight {
-            rested.retain(stays);
-        }
-        let hoped = std::mem::take(&mut self.hoped).into_keys();
+        let election = self.election_time();
+        let backoff = self
+            .store_retry
+            .take()
+            .map_or(election, |store_retry| (store_retry.backoff * 2).min(MAX_BACKOFF_ELECTIONS * election));
+        let retry_at = now.saturating_add(backoff);
+        self.store_retry = Some(StoreRetry { retry_at, backoff });
+        out.push(Output::Notice(Notice::StoreFailed { why, again: backoff }));
+        // Decided commands remain valid; messages would be outdated by the time the store works again.
+        let outlives_failure = |output: &Output| !matches!(output, Output::Tell { .. } | Output::Leader(_));
+        self.deferred.retain(outlives_failure);
+        if let Some((_, dependents)) = &mut self.in_flight {
+            dependents.retain(outlives_failure);
+        }
+        let outstanding = std::mem::take(&mut self.outstanding).into_keys();
         let queued = std::mem::take(&mut self.queue).into_iter().map(|(token, _)| token);
-        out.extend(hoped.chain(queued).map(|token| Output::Lost { token }));
+        out.extend(outstanding.chain(queued).map(|token| Output::Lost { token }));
         if self.leader.take().is_some() {
             point!(AGREE_LEAD);
             out.push(Output::Leader(None));
         }
     }
 
-    /// Takes what the engine wants, and gives out what may go.
-    fn settle(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.stall.is_some() || self.admission.standing == Standing::Lost {
-            // A voter that only learns has nothing to store; what is held was said before.
-            if self.stall.is_none() && self.flight.is_none() {
-                let held = std::mem::take(&mut self.held);
-                self.give_out(held, out);
+    /// Processes what the engine has ready, and returns the outputs that depend on nothing unstored.
+    fn process(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if self.store_retry.is_some() || self.admission.state == VoterState::StoreLost {
+            // A voter that only learns has nothing to store; the waiting outputs depend on batches that are
+            // stored.
+            if self.store_retry.is_none() && self.in_flight.is_none() {
+                let deferred = std::mem::take(&mut self.deferred);
+                self.emit(deferred, out);
             }
             return;
         }
-        if self.flight.is_none() {
-            self.flush(now);
+        if self.in_flight.is_none() {
+            self.submit_queued(now);
         }
         while self.node.has_ready() {
-            self.take_ready();
+            self.process_ready();
         }
         let leader = Some(self.node.raft.leader_id).filter(|leader| *leader != 0);
         if leader != self.leader {
             point!(AGREE_LEAD);
             self.leader = leader;
-            self.held.push(Output::Leader(leader));
+            self.deferred.push(Output::Leader(leader));
         }
-        self.stats.held = self.stats.held.max(self.held.len() as u64);
-        if self.flight.is_some() {
+        self.stats.max_deferred = self.stats.max_deferred.max(self.deferred.len() as u64);
+        if self.in_flight.is_some() {
             return;
         }
-        let held = std::mem::take(&mut self.held);
+        let deferred = std::mem::take(&mut self.deferred);
         match self.node.mut_store().take_batch() {
             Some(batch) => {
                 out.push(Output::Store(batch.clone()));
                 if planted!(SendsEarly) {
-                    self.flight = Some((batch, Vec::new()));
-                    self.give_out(held, out);
+                    self.in_flight = Some((batch, Vec::new()));
+                    self.emit(deferred, out);
                 } else {
-                    self.flight = Some((batch, held));
+                    self.in_flight = Some((batch, deferred));
                 }
             }
-            None => self.give_out(held, out),
+            None => self.emit(deferred, out),
         }
     }
 
-    fn take_ready(&mut self) {
+    fn process_ready(&mut self) {
         let mut ready = self.node.ready();
         let mut messages = ready.take_messages();
         messages.extend(ready.take_persisted_messages());
@@ -509,13 +525,13 @@
             let snapshot = ready.snapshot().clone();
             let at = Mark { index: snapshot.get_metadata().index, term: snapshot.get_metadata().term };
             let kept = Kept { at, bytes: snapshot.data.to_vec() };
-            self.given = at.index;
-            self.snapshot_asked = None;
-            self.snapshot_from = at.index + self.settings.snapshot_every;
-            self.held.push(Output::Restore { index: at.index, bytes: kept.bytes.clone() });
+            self.delivered_index = at.index;
+            self.requested_snapshot = None;
+            self.next_snapshot = at.index + self.settings.snapshot_every;
+            self.deferred.push(Output::Restore { index: at.index, bytes: kept.bytes.clone() });
             self.node.mut_store().install(kept);
         }
-        let entries = entries_of(ready.take_entries());
+        let entries = from_engine_entries(ready.take_entries());
         self.node.mut_store().append(entries);
         if let Some(hard) = ready.hs() {
             let promise = Promise { term: hard.term, vote: hard.vote, commit: hard.commit };
@@ -531,45 +547,46 @@
         decided.extend(light.take_committed_entries());
         messages.extend(light.take_messages());
         for entry in decided {
-            self.decide(entry);
+            self.deliver(entry);
         }
         self.node.advance_apply();
         for message in messages {
             let to = message.to;
             if message.get_msg_type() == MessageType::MsgSnapshot {
-                // It may be lost. Taken for arrived, the engine finds out by the next heartbeat.
+                // The message may be lost. It is reported as delivered; if it was not, the engine notices at
+                // the next heartbeat.
                 self.node.report_snapshot(to, SnapshotStatus::Finish);
             }
-            if let Some(said) = Said::of(message) {
-                self.tell(to, Word::Engine(said));
+            if let Some(engine_message) = EngineMessage::from_engine(message) {
+                self.send(to, Payload::Engine(engine_message));
             }
         }
-        self.pace();
+        self.set_election_timeout();
     }
 
-    fn decide(&mut self, entry: RaftEntry) {
-        self.given = entry.index;
+    fn deliver(&mut self, entry: RaftEntry) {
+        self.delivered_index = entry.index;
         if let Ok((voter, start, token)) = postcard::from_bytes::<(u64, u64, u64)>(&entry.context) {
             if (voter, start) == (self.settings.own, self.start) {
-                self.hoped.remove(&token);
+                self.outstanding.remove(&token);
             }
         }
         // The first entry of a leader is empty.
         if !entry.data.is_empty() {
             let decided = Output::Decided { index: entry.index, command: entry.data.to_vec() };
-            if planted!(HandsOutTwice) && entry.index.is_multiple_of(8) {
-                self.held.push(decided.clone());
+            if planted!(DeliversTwice) && entry.index.is_multiple_of(8) {
+                self.deferred.push(decided.clone());
             }
-            self.held.push(decided);
+            self.deferred.push(decided);
         }
-        if self.snapshot_asked.is_none() && entry.index >= self.snapshot_from {
-            self.snapshot_asked = Some(entry.index);
-            self.snapshot_from = entry.index + self.settings.snapshot_every;
-            self.held.push(Output::TakeSnapshot { index: entry.index });
+        if self.requested_snapshot.is_none() && entry.index >= self.next_snapshot {
+            self.requested_snapshot = Some(entry.index);
+            self.next_snapshot = entry.index + self.settings.snapshot_every;
+            self.deferred.push(Output::TakeSnapshot { index: entry.index });
         }
     }
 
-    fn give_out(&mut self, outputs: Vec<Output>, out: &mut Vec<Output>) {
+    fn emit(&mut self, outputs: Vec<Output>, out: &mut Vec<Output>) {
         for output in outputs {
             match &output {
                 Output::Tell { .. } => point!(AGREE_SEND),
--- a/crates/lemoncleat-agreement/src/writer.rs
+++ b/crates/lemoncleat-agreement/src/writer.rs
@@ -5,19 +5,20 @@
 
 use crate::{Batch, Store};
 
-/// Writes batches in order and tells of each. A voter gives out one at a time.
+/// Writes batches in order and reports the result of each. A voter has one batch outstanding at a time.
 pub struct Writer {
     sender: Option<SyncSender<Batch>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Writer {
-    /// Starts the thread. `done` hears of each batch, there, with its number and why it could not be stored, if so:
-    /// [`Input::Stored`](crate::Input::Stored) or [`Input::StoreFailed`](crate::Input::StoreFailed).
+    /// Starts the thread. `done` is called on it for each batch, with the batch's number and the error if it
+    /// could not be stored, to be passed on as [`Input::Stored`](crate::Input::Stored) or
+    /// [`Input::StoreFailed`](crate::Input::StoreFailed).
     ///
     /// # Errors
     ///
-    /// When the system starts no thread.
+    /// Returns an error if the system can't start a thread.
     pub fn start(
         mut store: Store,
         mut done: impl FnMut(u64, Result<(), String>) + Send + 'static,
@@ -32,19 +33,19 @@
         Ok(Writer { sender: Some(sender), thread: Some(thread) })
     }
 
-    /// Gives it a batch, without waiting; whether it was taken. It is not when the thread ended or has two to write
-    /// already, and then `done` hears nothing of it.
+    /// Queues a batch without waiting. Returns false if the thread has ended or already has two batches;
+    /// `done` is not called then.
     pub fn write(&self, batch: Batch) -> bool {
         self.sender.as_ref().is_some_and(|sender| sender.try_send(batch).is_ok())
     }
 }
 
 impl Drop for Writer {
-    /// Waits until what was given is written.
+    /// Waits until the queued batches are written.
     fn drop(&mut self) {
         self.sender = None;
         if let Some(thread) = self.thread.take() {
-            // A thread that panicked has told so by itself.
+            // A panic of the thread has already been reported by the panic hook.
             let _ = thread.join();
         }
     }
--- a/crates/lemoncleat-agreement/tests/net/mod.rs
+++ b/crates/lemoncleat-agreement/tests/net/mod.rs
@@ -1,5 +1,5 @@
-//! Voters under a virtual clock, on a network that delays, loses, repeats, reorders and parts, with disks that
-//! forget what was not synced. The laws are checked at each step.
+//! Runs voters under a virtual clock, on a network that delays, loses, duplicates, reorders and partitions,
+//! with disks that forget what was not synced. Invariants are checked at each step.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,10 +14,10 @@
 
 pub const MILLI: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
-/// The default timing's longest election time.
+/// The longest randomized election timeout of the default timing.
 pub const ELECTION: Micros = SECOND;
 
-/// A state machine: the commands that it was handed, with their indexes.
+/// A state machine: the delivered commands with their indexes.
 pub type State = Vec<(u64, u64)>;
 
 pub enum Disk {
@@ -29,12 +29,12 @@
     pub id: u64,
     pub voter: Option<Voter>,
     pub disk: Disk,
-    pub life: u64,
-    /// The batch that the disk has and has not synced.
+    pub generation: u64,
+    /// The batch that was handed to the disk and is not synced yet.
     pub storing: Option<Batch>,
     pub disk_full: bool,
-    /// The disk refused a batch and has not taken it since.
-    pub refused: bool,
+    /// The disk rejected a batch and has not stored it since.
+    pub write_failed: bool,
     pub paused_until: Micros,
     pub state: Vec<(u64, u64)>,
     pub notices: Vec<Notice>,
@@ -44,8 +44,8 @@
 
 enum Event {
     Deliver { from: u64, to: u64, bytes: Vec<u8> },
-    Synced { node: usize, life: u64 },
-    Snapshot { node: usize, life: u64, place: u64, bytes: Vec<u8> },
+    Synced { node: usize, generation: u64 },
+    Snapshot { node: usize, generation: u64, log_index: u64, bytes: Vec<u8> },
     Restart { node: usize },
     Heal { node: usize },
 }
@@ -54,24 +54,24 @@
     pub now: Micros,
     pub nodes: Vec<Node>,
     pub follower: Option<(u64, Follower, State)>,
-    /// What was decided, by anyone, in order: index and command.
+    /// All decided commands in order, as index and command, whichever voter delivered them first.
     pub decided: Vec<(u64, u64)>,
     pub proposed: BTreeSet<u64>,
     pub cut: BTreeSet<(u64, u64)>,
     pub loss: f64,
-    pub repeat: f64,
+    pub duplication: f64,
     pub delay: (Micros, Micros),
-    pub sync: Micros,
-    pub random: SmallRng,
-    pub broken: Option<String>,
+    pub sync_time: Micros,
+    pub rng: SmallRng,
+    pub violation: Option<String>,
     pub messages: u64,
     pub bytes: u64,
-    /// Fires of scene faults: what each led to.
-    pub met: Vec<String>,
-    /// Who was believed leader in which term, as a law: one at most.
+    /// The effects of the faults that fired.
+    pub fault_effects: Vec<String>,
+    /// The leader of each term; the invariant is that there is at most one.
     pub leaders: BTreeMap<u64, u64>,
     events: BTreeMap<(Micros, u64), Event>,
-    number: u64,
+    sequence: u64,
     snapshot_every: u64,
     voters: Vec<u64>,
 }
@@ -91,10 +91,10 @@
             id: *id,
             voter: None,
             disk,
-            life: 0,
+            generation: 0,
             storing: None,
             disk_full: false,
-            refused: false,
+            write_failed: false,
             paused_until: 0,
             state: Vec::new(),
             notices: Vec::new(),
@@ -109,17 +109,17 @@
             proposed: BTreeSet::new(),
             cut: BTreeSet::new(),
             loss: 0.0,
-            repeat: 0.0,
+            duplication: 0.0,
             delay: (MILLI, 5 * MILLI),
-            sync: 2 * MILLI,
-            random: SmallRng::seed_from_u64(seed),
-            broken: None,
+            sync_time: 2 * MILLI,
+            rng: SmallRng::seed_from_u64(seed),
+            violation: None,
             messages: 0,
             bytes: 0,
-            met: Vec::new(),
+            fault_effects: Vec::new(),
             leaders: BTreeMap::new(),
             events: BTreeMap::new(),
-            number: 0,
+            sequence: 0,
             snapshot_every,
             voters,
         };
@@ -129,19 +129,19 @@
         net
     }
 
-    fn later(&mut self, after: Micros, event: Event) {
-        self.number += 1;
-        self.events.insert((self.now + after, self.number), event);
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.sequence += 1;
+        self.events.insert((self.now + after, self.sequence), event);
     }
 
-    fn breaks(&mut self, why: String) {
-        self.broken.get_or_insert(format!("{} us: {why}", self.now));
+    fn violate(&mut self, why: String) {
+        self.violation.get_or_insert(format!("{} us: {why}", self.now));
     }
 
-    /// Starts a voter with what its disk holds.
+    /// Starts a voter with the contents of its disk.
     pub fn start(&mut self, index: usize) {
-        self.number += 1;
-        let seed = self.random.random::<u64>();
+        self.sequence += 1;
+        let seed = self.rng.random::<u64>();
         let settings = Settings {
             own: self.voters[index],
             voters: self.voters.clone(),
@@ -163,34 +163,34 @@
                 }
             }
         }));
-        node.life += 1;
+        node.generation += 1;
         node.storing = None;
-        node.refused = false;
+        node.write_failed = false;
         node.state.clear();
         let started = opened.map(|found| {
             found
                 .map_err(|error| error.to_string())
-                .and_then(|found| Voter::new(settings, found, seed).map_err(|refused| refused.to_string()))
+                .and_then(|found| Voter::new(settings, found, seed).map_err(|error| error.to_string()))
         });
         match started {
             Ok(Ok(voter)) => node.voter = Some(voter),
             Ok(Err(error)) => {
-                // The operator tries again.
+                // Retried after a while, as by an operator.
                 node.start_error = Some(error);
-                self.later(SECOND, Event::Restart { node: index });
+                self.schedule(SECOND, Event::Restart { node: index });
             }
-            Err(_) => self.later(SECOND, Event::Restart { node: index }),
+            Err(_) => self.schedule(SECOND, Event::Restart { node: index }),
         }
-        self.fired(index);
+        self.apply_fired_fault(index);
     }
 
-    /// Ends a process. What it had not synced is lost or there, as chance has it.
+    /// Ends a process. A batch that was not synced is lost or stored, at random.
     pub fn kill(&mut self, index: usize) {
-        let there = self.random.random_bool(0.5);
+        let stored = self.rng.random_bool(0.5);
         let node = &mut self.nodes[index];
         node.voter = None;
-        node.life += 1;
-        if let (Some(batch), Disk::Memory(found), true) = (node.storing.take(), &mut node.disk, there) {
+        node.generation += 1;
+        if let (Some(batch), Disk::Memory(found), true) = (node.storing.take(), &mut node.disk, stored) {
             found.apply(&batch);
         }
         if let Disk::Real(_, store) = &mut node.disk {
@@ -200,15 +200,15 @@
 
     pub fn kill_for(&mut self, index: usize, time: Micros) {
         self.kill(index);
-        self.later(time, Event::Restart { node: index });
+        self.schedule(time, Event::Restart { node: index });
     }
 
     pub fn lose_disk(&mut self, index: usize) {
-        let identity = self.random.random();
+        let identity = self.rng.random();
         self.nodes[index].disk = Disk::Memory(Found::new(identity));
     }
 
-    /// The voter that leads by its own belief, with the highest term.
+    /// Returns the voter that considers itself the leader, and has the highest term.
     pub fn leader(&self) -> Option<usize> {
         let leads = |node: &&Node| {
             node.paused_until <= self.now
@@ -218,7 +218,7 @@
         self.nodes.iter().filter(leads).max_by_key(term).map(|node| node.id as usize - 1)
     }
 
-    pub fn cut_off(&mut self, index: usize, outwards: bool, inwards: bool) {
+    pub fn cut_links(&mut self, index: usize, outwards: bool, inwards: bool) {
         let id = self.voters[index];
         for other in 1..=100 {
             if outwards {
@@ -236,12 +236,12 @@
         self.input(index, Input::Propose { token: command, command: command_bytes });
     }
 
-    /// Gives a voter an input and does what it says.
+    /// Passes an input to a voter and applies its outputs.
     pub fn input(&mut self, index: usize, input: Input) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let Some(mut voter) = node.voter.take() else { return };
-        let life = node.life;
+        let generation = node.generation;
         let mut out = Vec::new();
         turn(index);
         let handled = catch_unwind(AssertUnwindSafe(|| {
@@ -254,49 +254,49 @@
                 let term = voter.stats().term;
                 let known = *self.leaders.entry(term).or_insert(voter_id(index));
                 if known != voter_id(index) {
-                    self.breaks(format!("two leaders of term {term}"));
+                    self.violate(format!("two leaders of term {term}"));
                 }
             }
             self.nodes[index].voter = Some(voter);
         }
         for output in out {
-            // What was given out before a kill was on its way.
+            // Messages and decisions that were returned before the kill were already on their way.
             if killed && !matches!(output, Output::Tell { .. } | Output::Decided { .. }) {
                 continue;
             }
-            if self.nodes[index].life == life {
-                self.output(index, output);
+            if self.nodes[index].generation == generation {
+                self.apply_output(index, output);
             }
         }
-        self.fired(index);
+        self.apply_fired_fault(index);
     }
 
-    fn output(&mut self, index: usize, output: Output) {
+    fn apply_output(&mut self, index: usize, output: Output) {
         let id = self.voters[index];
         match output {
             Output::Tell { to, bytes } => {
-                if self.nodes[index].storing.is_some() || self.nodes[index].refused {
-                    self.breaks(format!("{id} says something before its batch is stored"));
+                if self.nodes[index].storing.is_some() || self.nodes[index].write_failed {
+                    self.violate(format!("{id} sends a message before its batch is stored"));
                 }
                 self.send(id, to, bytes);
             }
             Output::Store(batch) => self.store(index, batch),
-            Output::Decided { index: place, command } => {
-                if self.nodes[index].storing.is_some() || self.nodes[index].refused {
-                    self.breaks(format!("{id} hands out {place} before its batch is stored"));
+            Output::Decided { index: log_index, command } => {
+                if self.nodes[index].storing.is_some() || self.nodes[index].write_failed {
+                    self.violate(format!("{id} delivers {log_index} before its batch is stored"));
                 }
                 let command = <[u8; 8]>::try_from(command).map(u64::from_le_bytes).unwrap_or(u64::MAX);
                 let mut state = std::mem::take(&mut self.nodes[index].state);
-                self.applied(&mut state, id, place, command);
+                self.apply_command(&mut state, id, log_index, command);
                 self.nodes[index].state = state;
             }
-            Output::Restore { index: place, bytes } => {
-                self.nodes[index].state = self.restored(id, place, &bytes);
+            Output::Restore { index: log_index, bytes } => {
+                self.nodes[index].state = self.load_snapshot(id, log_index, &bytes);
             }
-            Output::TakeSnapshot { index: place } => {
+            Output::TakeSnapshot { index: log_index } => {
                 let bytes = snapshot(&self.nodes[index].state);
-                let life = self.nodes[index].life;
-                self.later(0, Event::Snapshot { node: index, life, place, bytes });
+                let generation = self.nodes[index].generation;
+                self.schedule(0, Event::Snapshot { node: index, generation, log_index, bytes });
             }
             Output::Lost { .. } => self.nodes[index].lost += 1,
             Output::Notice(notice) => self.nodes[index].notices.push(notice),
@@ -304,27 +304,27 @@
         }
     }
 
-    fn applied(&mut self, state: &mut Vec<(u64, u64)>, id: u64, place: u64, command: u64) {
-        if state.last().is_some_and(|(last, _)| *last >= place) {
-            self.breaks(format!("{id} is handed {place} after {:?}", state.last()));
+    fn apply_command(&mut self, state: &mut Vec<(u64, u64)>, id: u64, log_index: u64, command: u64) {
+        if state.last().is_some_and(|(last, _)| *last >= log_index) {
+            self.violate(format!("{id} receives {log_index} after {:?}", state.last()));
         }
         if !self.proposed.contains(&command) {
-            self.breaks(format!("{id} is handed {command} at {place}, which nobody proposed"));
+            self.violate(format!("{id} receives {command} at {log_index}, which was never proposed"));
         }
         match self.decided.get(state.len()).copied() {
-            None => self.decided.push((place, command)),
-            Some(known) if known == (place, command) => {}
-            Some(known) => self.breaks(format!("{id} is handed {command} at {place}, others {known:?}")),
+            None => self.decided.push((log_index, command)),
+            Some(known) if known == (log_index, command) => {}
+            Some(known) => self.violate(format!("{id} receives {command} at {log_index}, others {known:?}")),
         }
-        state.push((place, command));
+        state.push((log_index, command));
     }
 
-    fn restored(&mut self, id: u64, place: u64, bytes: &[u8]) -> Vec<(u64, u64)> {
+    fn load_snapshot(&mut self, id: u64, log_index: u64, bytes: &[u8]) -> Vec<(u64, u64)> {
         let number = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).unwrap_or(u64::MAX);
         let state: Vec<(u64, u64)> =
             bytes.chunks(16).map(|pair| (number(&pair[..8]), number(&pair[8..]))).collect();
-        if !self.decided.starts_with(&state) || state.last().is_some_and(|(last, _)| *last > place) {
-            self.breaks(format!("{id} is to restore what was not decided"));
+        if !self.decided.starts_with(&state) || state.last().is_some_and(|(last, _)| *last > log_index) {
+            self.violate(format!("{id} restores a state that was not decided"));
         }
         state
     }
@@ -332,28 +332,28 @@
     fn send(&mut self, from: u64, to: u64, bytes: Vec<u8>) {
         self.messages += 1;
         self.bytes += bytes.len() as u64;
-        if self.cut.contains(&(from, to)) || self.random.random_bool(self.loss) {
+        if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
             return;
         }
-        let copies = if self.random.random_bool(self.repeat) { 2 } else { 1 };
+        let copies = if self.rng.random_bool(self.duplication) { 2 } else { 1 };
         for _ in 0..copies {
-            let after = self.random.random_range(self.delay.0..=self.delay.1);
-            self.later(after, Event::Deliver { from, to, bytes: bytes.clone() });
+            let after = self.rng.random_range(self.delay.0..=self.delay.1);
+            self.schedule(after, Event::Deliver { from, to, bytes: bytes.clone() });
         }
     }
 
     fn store(&mut self, index: usize, batch: Batch) {
-        let life = self.nodes[index].life;
+        let generation = self.nodes[index].generation;
         self.nodes[index].storing = Some(batch);
-        self.later(self.sync, Event::Synced { node: index, life });
+        self.schedule(self.sync_time, Event::Synced { node: index, generation });
     }
 
-    fn synced(&mut self, index: usize) {
+    fn finish_sync(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         let Some(batch) = node.storing.take() else { return };
         let number = batch.number;
         if node.disk_full {
-            node.refused = true;
+            node.write_failed = true;
             return self.input(index, Input::StoreFailed(number, "no space left".to_owned()));
         }
         turn(index);
@@ -365,55 +365,60 @@
             Disk::Real(_, Some(store)) => store.apply(&batch),
             Disk::Real(path, None) => Err(StoreError::Failed(path.clone(), "closed".to_owned())),
         }));
-        node.refused = !matches!(result, Ok(Ok(())));
+        node.write_failed = !matches!(result, Ok(Ok(())));
         match result {
             Ok(Ok(())) => self.input(index, Input::Stored(number)),
             Ok(Err(error)) => self.input(index, Input::StoreFailed(number, error.to_string())),
             Err(_) => {}
         }
-        self.fired(index);
+        self.apply_fired_fault(index);
     }
 
-    /// Carries out a fault that a point met.
+    /// Applies a fault that fired at a fault point.
     #[cfg(feature = "faults")]
-    fn fired(&mut self, _: usize) {
+    fn apply_fired_fault(&mut self, _: usize) {
         use lemoncleat_faults::{scene, Fault};
         let Some((fault, Some(index))) = scene::fired() else { return };
-        let led = self.leader() == Some(index);
-        self.met.push(format!("{} of {}{}", fault.name(), index + 1, if led { ", the leader" } else { "" }));
+        let was_leader = self.leader() == Some(index);
+        self.fault_effects.push(format!(
+            "{} of {}{}",
+            fault.name(),
+            index + 1,
+            if was_leader { ", the leader" } else { "" }
+        ));
         match fault {
             Fault::Kill => self.kill_for(index, 2 * ELECTION),
             Fault::Error => {}
             Fault::Pause => self.nodes[index].paused_until = self.now + 4 * ELECTION,
-            Fault::Cut => self.cut_off(index, true, true),
-            Fault::CutOut => self.cut_off(index, true, false),
-            Fault::CutIn => self.cut_off(index, false, true),
+            Fault::Cut => self.cut_links(index, true, true),
+            Fault::CutOut => self.cut_links(index, true, false),
+            Fault::CutIn => self.cut_links(index, false, true),
         }
         if matches!(fault, Fault::Cut | Fault::CutOut | Fault::CutIn) {
-            self.later(4 * ELECTION, Event::Heal { node: index });
+            self.schedule(4 * ELECTION, Event::Heal { node: index });
         }
     }
 
     #[cfg(not(feature = "faults"))]
-    fn fired(&mut self, _: usize) {}
+    fn apply_fired_fault(&mut self, _: usize) {}
 
-    /// Plays until a moment.
+    /// Runs until a point in time.
     pub fn run_until(&mut self, end: Micros) {
-        self.play(end, |_| false);
+        self.run_events(end, |_| false);
     }
 
     pub fn run(&mut self, time: Micros) {
         self.run_until(self.now + time);
     }
 
-    /// Plays until something holds, at most for `time`; whether it came to hold.
-    pub fn run_till(&mut self, time: Micros, holds: impl Fn(&Net) -> bool) -> bool {
-        self.play(self.now + time, &holds);
-        holds(self)
+    /// Runs until a condition holds, for at most `time`. Returns whether it holds.
+    pub fn run_until_holds(&mut self, time: Micros, condition: impl Fn(&Net) -> bool) -> bool {
+        self.run_events(self.now + time, &condition);
+        condition(self)
     }
 
-    fn play(&mut self, end: Micros, holds: impl Fn(&Net) -> bool) {
-        while !holds(self) {
+    fn run_events(&mut self, end: Micros, condition: impl Fn(&Net) -> bool) {
+        while !condition(self) {
             let event = self.events.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
             let wakes = self.nodes.iter().enumerate().filter_map(|(index, node)| {
                 let wake = node.voter.as_ref()?.wake()?;
@@ -430,24 +435,24 @@
             self.now = self.now.max(next);
             if event <= next {
                 if let Some((_, event)) = self.events.pop_first() {
-                    self.happen(event);
+                    self.handle_event(event);
                 }
             } else if let Some((_, index)) = wake.filter(|(at, _)| *at <= next) {
                 self.input(index, Input::Timeout);
             } else {
-                self.follow(Input::Timeout);
+                self.run_follower(Input::Timeout);
             }
-            if self.broken.is_some() {
+            if self.violation.is_some() {
                 return;
             }
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver { from, to, bytes } => {
                 if self.follower.as_ref().is_some_and(|(id, ..)| *id == to) {
-                    return self.follow(Input::Heard { from, bytes: &bytes });
+                    return self.run_follower(Input::Heard { from, bytes: &bytes });
                 }
                 let index = (to as usize).wrapping_sub(1);
                 if index >= self.nodes.len() {
@@ -455,22 +460,24 @@
                 }
                 let until = self.nodes[index].paused_until;
                 if until > self.now {
-                    // It lies in the socket until then.
-                    self.later(until - self.now, Event::Deliver { from, to, bytes });
+                    // The message stays in the socket buffer until then.
+                    self.schedule(until - self.now, Event::Deliver { from, to, bytes });
                 } else {
                     self.input(index, Input::Heard { from, bytes: &bytes });
                 }
             }
-            Event::Synced { node, life } if self.nodes[node].life == life => {
+            Event::Synced { node, generation } if self.nodes[node].generation == generation => {
                 let until = self.nodes[node].paused_until;
                 if until > self.now {
-                    self.later(until - self.now, Event::Synced { node, life });
+                    self.schedule(until - self.now, Event::Synced { node, generation });
                 } else {
-                    self.synced(node);
+                    self.finish_sync(node);
                 }
             }
-            Event::Snapshot { node, life, place, bytes } if self.nodes[node].life == life => {
-                self.input(node, Input::Snapshot { index: place, bytes });
+            Event::Snapshot { node, generation, log_index, bytes }
+                if self.nodes[node].generation == generation =>
+            {
+                self.input(node, Input::Snapshot { index: log_index, bytes });
             }
             Event::Synced { .. } | Event::Snapshot { .. } => {}
             Event::Restart { node } if self.nodes[node].voter.is_none() => self.start(node),
@@ -482,7 +489,7 @@
         }
     }
 
-    fn follow(&mut self, input: Input) {
+    fn run_follower(&mut self, input: Input) {
         let Some((id, mut follower, mut state)) = self.follower.take() else { return };
         let mut out = Vec::new();
         follower.handle(self.now, input, &mut out);
@@ -491,20 +498,20 @@
                 Output::Tell { to, bytes } => self.send(id, to, bytes),
                 Output::Decided { index, command } => {
                     let command = <[u8; 8]>::try_from(command).map(u64::from_le_bytes).unwrap_or(u64::MAX);
-                    self.applied(&mut state, id, index, command);
+                    self.apply_command(&mut state, id, index, command);
                 }
-                Output::Restore { index, bytes } => state = self.restored(id, index, &bytes),
+                Output::Restore { index, bytes } => state = self.load_snapshot(id, index, &bytes),
                 _ => {}
             }
         }
         self.follower = Some((id, follower, state));
     }
 
-    /// All is whole again: whether all voters that may come to one leader and one log, and decide something new,
-    /// within ten election times.
+    /// Ends all faults. Returns whether all eligible voters then agree on one leader and one log, and decide
+    /// a new command in time.
     pub fn recovers(&mut self) -> bool {
         self.cut.clear();
-        (self.loss, self.repeat) = (0.0, 0.0);
+        (self.loss, self.duplication) = (0.0, 0.0);
         for index in 0..self.nodes.len() {
             self.nodes[index].disk_full = false;
             self.nodes[index].paused_until = 0;
@@ -513,9 +520,9 @@
             }
         }
         let command = 1 << 40 | self.now as u64;
-        // A store that failed long is tried again after a pause of up to 32 s.
+        // A store that failed for a long time is retried after a backoff of up to 32 s.
         for _ in 0..20 {
-            if !self.run_till(3 * ELECTION, |net| net.leader().is_some()) {
+            if !self.run_until_holds(3 * ELECTION, |net| net.leader().is_some()) {
                 continue;
             }
             if let Some(leader) = self.leader() {
@@ -524,15 +531,15 @@
             let all = |net: &Net| {
                 net.nodes.iter().all(|node| node.state.last().is_some_and(|(_, last)| *last == command))
             };
-            if self.run_till(ELECTION, all) {
+            if self.run_until_holds(ELECTION, all) {
                 return true;
             }
         }
         false
     }
 
-    pub fn law(&self) {
-        assert_eq!(self.broken, None);
+    pub fn assert_no_violation(&self) {
+        assert_eq!(self.violation, None);
     }
 }
 
@@ -552,62 +559,63 @@
 #[cfg(not(feature = "faults"))]
 fn turn(_: usize) {}
 
-/// A wild time: kills, cuts of all kinds, lost and repeated messages, full disks, pauses. Returns the net at its
-/// end, before it recovers.
-pub fn wild(voters: u64, seed: u64, time: Micros) -> Net {
+/// Runs with random faults: kills, cuts in one or both directions, lost and duplicated messages, full disks
+/// and pauses. Returns the network before it recovers.
+pub fn run_random_faults(voters: u64, seed: u64, time: Micros) -> Net {
     let mut net = Net::new(voters, seed, 16 + seed % 32);
-    net.run_till(3 * ELECTION, |net| net.leader().is_some());
-    let mut random = SmallRng::seed_from_u64(seed ^ 0x5eed);
+    net.run_until_holds(3 * ELECTION, |net| net.leader().is_some());
+    let mut rng = SmallRng::seed_from_u64(seed ^ 0x5eed);
     let end = net.now + time;
     let mut command = 0;
-    while net.now < end && net.broken.is_none() {
-        net.run(random.random_range(1..60) * MILLI);
-        let index = random.random_range(0..net.nodes.len());
-        let other = random.random_range(0..net.nodes.len());
-        match random.random_range(0..100) {
+    while net.now < end && net.violation.is_none() {
+        net.run(rng.random_range(1..60) * MILLI);
+        let index = rng.random_range(0..net.nodes.len());
+        let other = rng.random_range(0..net.nodes.len());
+        match rng.random_range(0..100) {
             0..60 => {
-                let at = if random.random_bool(0.7) { net.leader().unwrap_or(index) } else { index };
-                for _ in 0..random.random_range(1..4) {
+                let at = if rng.random_bool(0.7) { net.leader().unwrap_or(index) } else { index };
+                for _ in 0..rng.random_range(1..4) {
                     command += 1;
                     net.propose(at, command);
                 }
             }
-            60..66 => net.kill_for(index, random.random_range(1..3000) * MILLI),
+            60..66 => net.kill_for(index, rng.random_range(1..3000) * MILLI),
             66..69 => {
                 if let Some(leader) = net.leader() {
-                    net.kill_for(leader, random.random_range(1..3000) * MILLI);
+                    net.kill_for(leader, rng.random_range(1..3000) * MILLI);
                 }
             }
             69..76 => {
                 net.cut.insert((index as u64 + 1, other as u64 + 1));
             }
-            76..79 => net.cut_off(index, random.random_bool(0.7), random.random_bool(0.7)),
+            76..79 => net.cut_links(index, rng.random_bool(0.7), rng.random_bool(0.7)),
             79..87 => net.cut.clear(),
-            87..90 => (net.loss, net.repeat) = (random.random_range(0.0..0.3), random.random_range(0.0..0.3)),
-            90..92 => net.delay.1 = random.random_range(2..150) * MILLI,
-            92..94 => net.sync = random.random_range(1..100) * MILLI,
+            87..90 => (net.loss, net.duplication) = (rng.random_range(0.0..0.3), rng.random_range(0.0..0.3)),
+            90..92 => net.delay.1 = rng.random_range(2..150) * MILLI,
+            92..94 => net.sync_time = rng.random_range(1..100) * MILLI,
             94..95 => net.nodes[index].disk_full = true,
             95..98 => net.nodes.iter_mut().for_each(|node| node.disk_full = false),
-            _ => net.nodes[index].paused_until = net.now + random.random_range(1..3000) * MILLI,
+            _ => net.nodes[index].paused_until = net.now + rng.random_range(1..3000) * MILLI,
         }
     }
     net
 }
 
-/// Elections without end on a slow network, and voters that die between two candidates' requests.
-pub fn restless(seed: u64, time: Micros) -> Net {
+/// Causes constant elections on a slow network, with voters that are killed between the requests of two
+/// candidates.
+pub fn run_constant_elections(seed: u64, time: Micros) -> Net {
     let mut net = Net::new(3, seed, 32);
-    net.run_till(3 * ELECTION, |net| net.leader().is_some());
+    net.run_until_holds(3 * ELECTION, |net| net.leader().is_some());
     let end = net.now + time;
-    let mut random = SmallRng::seed_from_u64(seed);
+    let mut rng = SmallRng::seed_from_u64(seed);
     net.delay = (MILLI, 400 * MILLI);
-    net.repeat = 0.3;
-    while net.now < end && net.broken.is_none() {
-        net.run(random.random_range(1..100) * MILLI);
-        let index = random.random_range(0..3);
-        match random.random_range(0..3) {
+    net.duplication = 0.3;
+    while net.now < end && net.violation.is_none() {
+        net.run(rng.random_range(1..100) * MILLI);
+        let index = rng.random_range(0..3);
+        match rng.random_range(0..3) {
             0 => net.kill_for(index, MILLI),
-            1 if random.random_bool(0.2) => net.paused(index, random.random_range(1..1500) * MILLI),
+            1 if rng.random_bool(0.2) => net.pause(index, rng.random_range(1..1500) * MILLI),
             _ => net.propose(index, net.now as u64),
         }
     }
@@ -615,7 +623,7 @@
 }
 
 impl Net {
-    fn paused(&mut self, index: usize, time: Micros) {
+    fn pause(&mut self, index: usize, time: Micros) {
         self.nodes[index].paused_until = self.now + time;
     }
 }
--- a/crates/lemoncleat-agreement/tests/store.rs
+++ b/crates/lemoncleat-agreement/tests/store.rs
@@ -1,21 +1,23 @@
-//! The store on disk: what a crash or a flipped bit leaves is told or harmless.
+//! The store on disk: damage by a crash or a flipped bit is reported or has no effect.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use lemoncleat_agreement::{Batch, Entry, Found, Kept, Mark, Place, Promise, Store, StoreError, Writer};
+use lemoncleat_agreement::{Batch, Entry, Found, Kept, Mark, Promise, Store, StoreError, StoreOwner, Writer};
 
 fn entry(index: u64, term: u64) -> Entry {
     Entry { at: Mark { index, term }, command: vec![index as u8; 40], origin: vec![1, 2, 3] }
 }
 
-/// A life's worth of batches: votes, entries, entries that replace others, a snapshot, trimming, another's snapshot.
+/// A typical sequence of batches: votes, entries, entries that replace others, a snapshot, trimming, and a
+/// snapshot of another voter.
 fn batches() -> Vec<Batch> {
     let promise = |term, commit| Some(Promise { term, vote: 2, commit });
-    let place = Place { own: 1, voters: vec![1, 2, 3], admitted: true, stores: [(2, 22), (3, 33)].into() };
+    let owner =
+        StoreOwner { own: 1, voters: vec![1, 2, 3], admitted: true, stores: [(2, 22), (3, 33)].into() };
     let kept = |index, term| Some(Kept { at: Mark { index, term }, bytes: vec![7; 300] });
     let mut batches = vec![
-        Batch { place: Some(place), ..Batch::default() },
+        Batch { owner: Some(owner), ..Batch::default() },
         Batch {
             promise: promise(1, 0),
             entries: (1..=20).map(|index| entry(index, 1)).collect(),
@@ -46,8 +48,8 @@
     batches
 }
 
-/// A store with all batches, and what it holds.
-fn filled(directory: &Path) -> (PathBuf, Found) {
+/// Returns a store with all batches, and its expected contents.
+fn create_filled(directory: &Path) -> (PathBuf, Found) {
     let path = directory.join("log");
     let mut store = Store::open(&path, 99).unwrap();
     let mut expected = Found::new(99);
@@ -63,20 +65,20 @@
     Store::open(path, 5)?.read_all()
 }
 
-fn beside(path: &Path, ending: &str) -> PathBuf {
+fn sibling_path(path: &Path, ending: &str) -> PathBuf {
     PathBuf::from(format!("{}{ending}", path.display()))
 }
 
 #[test]
-fn what_is_stored_is_found_again() {
+fn reads_back_what_was_stored() {
     let directory = tempfile::tempdir().unwrap();
-    let (path, expected) = filled(directory.path());
+    let (path, expected) = create_filled(directory.path());
     let mut store = Store::open(&path, 5).unwrap();
     assert_eq!(store.read_all().unwrap(), expected);
-    // Again, as after a failure that was none.
+    // Applied again, as after a reported failure of a batch that was in fact stored.
     store.apply(batches().last().unwrap()).unwrap();
     assert_eq!(store.read_all().unwrap(), expected);
-    // One that skips a batch is no batch of this store.
+    // A batch that skips a number is rejected.
     assert!(store.apply(&Batch { number: 100, ..Batch::default() }).is_err());
     drop(store);
     let (sender, receiver) = std::sync::mpsc::channel();
@@ -90,55 +92,56 @@
 }
 
 #[test]
-fn a_changed_byte_is_told_or_harmless() {
+fn reports_a_changed_byte_or_reads_the_same_contents() {
     let directory = tempfile::tempdir().unwrap();
-    let (path, expected) = filled(directory.path());
-    let (whole, last) = (fs::read(&path).unwrap(), fs::read(beside(&path, ".last")).unwrap());
+    let (path, expected) = create_filled(directory.path());
+    let (intact, witness) = (fs::read(&path).unwrap(), fs::read(sibling_path(&path, ".last")).unwrap());
     let copy = directory.path().join("copy");
-    let (mut told, mut harmless) = (0, 0);
-    let mut check = |whole: &[u8], last: &[u8], what: String| {
-        fs::write(&copy, whole).unwrap();
-        fs::write(beside(&copy, ".last"), last).unwrap();
+    let (mut reported, mut harmless) = (0, 0);
+    let mut check = |intact: &[u8], witness: &[u8], change: String| {
+        fs::write(&copy, intact).unwrap();
+        fs::write(sibling_path(&copy, ".last"), witness).unwrap();
         match reopen(&copy) {
             Ok(found) => {
-                assert_eq!(found, expected, "{what}");
+                assert_eq!(found, expected, "{change}");
                 harmless += 1;
             }
             Err(error) => {
                 assert!(error.to_string().contains(copy.to_str().unwrap()), "{error}");
-                told += 1;
+                reported += 1;
             }
         }
     };
-    // All of the header, and wherever something is.
-    let places = (0..whole.len()).filter(|place| *place < 320 || (whole[*place] != 0 && place % 173 == 0));
-    for place in places.collect::<Vec<_>>() {
-        for flip in [1u8 << (place % 8), 0xff] {
-            let mut changed = whole.clone();
-            changed[place] ^= flip;
-            check(&changed, &last, format!("byte {place} ^ {flip}"));
+    // All bytes of the file header, and a sample of the other non-zero bytes.
+    let positions = (0..intact.len())
+        .filter(|position| *position < 320 || (intact[*position] != 0 && position % 173 == 0));
+    for position in positions.collect::<Vec<_>>() {
+        for flip in [1u8 << (position % 8), 0xff] {
+            let mut changed = intact.clone();
+            changed[position] ^= flip;
+            check(&changed, &witness, format!("byte {position} ^ {flip}"));
         }
     }
-    for place in 0..last.len() {
-        let mut changed = last.clone();
-        changed[place] ^= 1 << (place % 8);
-        check(&whole, &changed, format!("witness byte {place}"));
+    for position in 0..witness.len() {
+        let mut changed = witness.clone();
+        changed[position] ^= 1 << (position % 8);
+        check(&intact, &changed, format!("witness byte {position}"));
     }
-    let lengths = (0..whole.len()).step_by(whole.len() / 64);
+    let lengths = (0..intact.len()).step_by(intact.len() / 64);
     for length in lengths {
-        check(&whole[..length], &last, format!("cut off at {length}"));
+        check(&intact[..length], &witness, format!("cut off at {length}"));
     }
-    for length in 0..last.len() {
-        check(&whole, &last[..length], format!("witness cut off at {length}"));
+    for length in 0..witness.len() {
+        check(&intact, &witness[..length], format!("witness cut off at {length}"));
     }
-    println!("{} bytes: {told} changes told, {harmless} without effect", whole.len());
-    assert!(told > 200);
+    println!("{} bytes: {reported} changes reported, {harmless} without effect", intact.len());
+    assert!(reported > 200);
 }
 
 #[test]
-fn an_older_file_is_told() {
+fn detects_an_older_file() {
     let directory = tempfile::tempdir().unwrap();
-    let (path, _) = filled(directory.path());
+    let (path, _) = create_filled(directory.path());
     let older = fs::read(&path).unwrap();
     let mut store = Store::open(&path, 5).unwrap();
     store.apply(&Batch { number: 7, entries: vec![entry(81, 4)], ..Batch::default() }).unwrap();
@@ -146,12 +149,12 @@
     fs::write(&path, &older).unwrap();
     let error = reopen(&path).unwrap_err();
     assert!(matches!(&error, StoreError::Corrupt(..)), "{error}");
-    // Nor is a new one made in silence where one was.
+    // Nor may a new store be created silently where one was.
     fs::remove_file(&path).unwrap();
     assert!(matches!(reopen(&path), Err(StoreError::Corrupt(..))));
     assert!(!path.exists());
-    // Nor one opened without its witness.
+    // Nor may a store be opened without its witness.
     fs::write(&path, &older).unwrap();
-    fs::remove_file(beside(&path, ".last")).unwrap();
+    fs::remove_file(sibling_path(&path, ".last")).unwrap();
     assert!(matches!(reopen(&path), Err(StoreError::Corrupt(..))));
 }
--- a/crates/lemoncleat-fleet/benches/fleet.rs
+++ b/crates/lemoncleat-fleet/benches/fleet.rs
@@ -55,8 +55,8 @@
             net.start(1, 101);
             net.settle(60 * SECOND);
             println!(
-                "{carrier:?} {size}: whole start {:.1} s, fact with all {:.2} s, killed known by all {:.1} s, \
-                most connections {}",
+                "{carrier:?} {size}: whole start {:.1} s, fact with all {:.2} s, \
+                killed known by all {:.1} s, most connections {}",
                 seconds(start_time),
                 seconds(fact_time),
                 seconds(gone_time),
