--- a/crates/lemoncleat-commons/src/configuration.rs
+++ b/crates/lemoncleat-commons/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of the whole fleet, as a part carries it.
+//! Connects a configuration distributor to a part.
 
 use lemoncleat_configuration::{
     Answer, Calls, Distributor, Input, Ledger, Member, Notice, Output, Phase, Settings,
@@ -13,9 +13,9 @@
     all.iter().map(|member| Member { id: MemberId::of(&member.name).0, zone: member.zone.clone() }).collect()
 }
 
-/// A distributor, and what it asks for.
+/// A distributor and its pending outputs.
 pub(crate) struct Configuration {
-    core: Distributor,
+    distributor: Distributor,
     names: Names,
     leading: bool,
     pub(crate) calls: Calls,
@@ -31,31 +31,31 @@
             voters: settings.voters.iter().map(|voter| id(voter)).collect(),
             round: settings.round,
         };
-        // Numbers of questions differ from those before a restart.
-        let core = Distributor::new(settings, seed ^ u64::from(start) << 32);
-        Configuration { core, names, leading: false, calls: Calls::default(), outputs: Vec::new() }
+        // Query numbers must differ from those before a restart.
+        let distributor = Distributor::new(settings, seed ^ u64::from(start) << 32);
+        Configuration { distributor, names, leading: false, calls: Calls::default(), outputs: Vec::new() }
     }
 
     pub(crate) fn handle(&mut self, now: Micros, input: Input<'_>) {
-        self.core.handle(now, input, &mut self.outputs);
+        self.distributor.handle(now, input, &mut self.outputs);
     }
 
-    /// These are the members from now on, under these names.
+    /// Replaces the members and their names.
     pub(crate) fn set_members(&mut self, now: Micros, all: &[lemoncleat_fleet::Member], names: Names) {
         self.names = names;
         self.handle(now, Input::Members(members(all)));
     }
 
     pub(crate) fn operator_left(&mut self, conn: u64) {
-        self.core.operator_left(conn);
+        self.distributor.operator_left(conn);
     }
 
     pub(crate) fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+        self.distributor.wake()
     }
 
-    /// At a voter: the ledger if it changed, and whether it leads.
-    pub(crate) fn agreed(&mut self, now: Micros, ledger: Option<&Ledger>, leading: bool) {
+    /// At a voter: passes on a changed ledger and a change of leadership.
+    pub(crate) fn ledger_updated(&mut self, now: Micros, ledger: Option<&Ledger>, leading: bool) {
         if let Some(ledger) = ledger {
             self.handle(now, Input::Ledger(ledger));
         }
@@ -69,9 +69,9 @@
         name(&self.names, MemberId(id))
     }
 
-    /// The node's own state, for an operator.
+    /// Returns this node's configuration state for an operator.
     pub(crate) fn status(&self, now: Micros) -> Value {
-        let status = self.core.status(now);
+        let status = self.distributor.status(now);
         let phase = match status.phase {
             Phase::None => "none",
             Phase::Trial => "trial",
@@ -90,19 +90,19 @@
         })
     }
 
-    /// An operator's answer.
+    /// Encodes an answer to an operator.
     pub(crate) fn answer(&self, answer: Answer) -> Value {
         match answer {
             Answer::Agreed { order, number } => json!({"ok": true, "order": order, "number": number}),
             Answer::Refused { order, error } => json!({"ok": false, "order": order, "error": error}),
-            Answer::Counted { newest, answered, of, sums } => {
-                let versions: serde_json::Map<String, Value> = sums
+            Answer::Counted { newest, answered, of, counts } => {
+                let versions: serde_json::Map<String, Value> = counts
                     .versions
                     .iter()
                     .map(|(number, count)| (number.to_string(), (*count).into()))
                     .collect();
-                let other = |other: &lemoncleat_configuration::Other| json!({"host": self.name(other.member), "number": other.number, "why": other.why});
-                let others: Vec<Value> = sums.others.iter().map(other).collect();
+                let other = |other: &lemoncleat_configuration::OutdatedMember| json!({"host": self.name(other.member), "number": other.number, "why": other.reason});
+                let others: Vec<Value> = counts.others.iter().map(other).collect();
                 json!({
                     "ok": true, "newest": newest, "answered": answered, "of": of,
                     "versions": versions, "others": others,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// A notice for the log: whether it is bad news, and what.
-    pub(crate) fn told(&self, notice: &Notice) -> (bool, String) {
+    /// Returns the log line of a notice, and whether it is a warning.
+    pub(crate) fn describe(&self, notice: &Notice) -> (bool, String) {
         match notice {
             Notice::InForce(0) => (false, "the settings of the node's file are in force".to_owned()),
             Notice::InForce(number) => (false, format!("version {number} of the configuration is in force")),
@@ -126,11 +126,11 @@
                 (false, format!("configuration at step {}: version {settled} for all{trial}", held.step))
             }
             Notice::CopyUnusable(why) => (true, format!("the kept configuration is not used: {why}")),
-            Notice::NotKept(why) => (true, format!("the configuration can't be kept: {why}")),
+            Notice::PersistFailed(why) => (true, format!("the configuration can't be kept: {why}")),
             Notice::WrongText(from, number) => {
-                (true, format!("{} serves a wrong text of version {number}", self.name(*from)))
+                (true, format!("{} served a wrong text of version {number}", self.name(*from)))
             }
-            Notice::Unheard(from) => {
+            Notice::MessageDiscarded(from) => {
                 (true, format!("a word of {} on the configuration is not heard", self.name(*from)))
             }
         }
--- a/crates/lemoncleat-commons/src/lib.rs
+++ b/crates/lemoncleat-commons/src/lib.rs
@@ -1,7 +1,8 @@
-//! A node's part in its fleet, without I/O: who is there, what each tells of itself, and what all agree on.
+//! The fleet side of a node, without I/O: membership, published facts, and replicated state.
 //!
-//! A [`Part`] joins the cores of `lemoncleat-fleet` and `lemoncleat-agreement` to one carrier of words between
-//! members, and says what a driver is to do. Nothing in it touches a call; a node without a fleet has none of it.
+//! A [`Part`] connects the state machines of `lemoncleat-fleet`, `lemoncleat-agreement`,
+//! `lemoncleat-configuration` and `lemoncleat-consistency` to one carrier of messages between members, and
+//! returns actions for a driver. It does not handle calls. A node that belongs to no fleet has no part.
 
 mod configuration;
 mod members;
@@ -16,5 +17,5 @@
 pub use rules::RulesCheck;
 pub use seat::Seat;
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-commons/src/members.rs
+++ b/crates/lemoncleat-commons/src/members.rs
@@ -1,4 +1,4 @@
-//! The members change in place: a configuration in force names others.
+//! Changes of the member list at run time, when the configuration in force names other members.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -6,43 +6,44 @@
 use lemoncleat_fleet::{Input, Member, MemberId};
 
 use crate::part::{Names, Part, Said};
-use crate::seat::Agreed;
+use crate::seat::Agreement;
 use crate::Micros;
 
-/// Most places, as a node's core has them.
-const MOST_PLACES: usize = 16 * 1024;
+/// Maximum number of places, the same as in the node's core.
+const MAX_PLACES: usize = 16 * 1024;
 
 impl Part {
-    /// Why [`Part::set_members`] would refuse these members; what a driver asks before a text is put in force, so that
-    /// the node's core and the part take the same lists.
+    /// Checks whether [`Part::set_members`] would accept these members. A driver calls this before it puts a
+    /// text in force, so that the node's core and the part accept the same lists.
     ///
     /// # Errors
     ///
-    /// When two members can't be told apart, the node or a voter is none of them, they are more than 1,024, or so many
-    /// have come and gone that no place is left until the node starts anew.
+    /// If two members have the same name or identifier, the node or a voter is missing, there are more than
+    /// 1,024 members, or so many members were added and removed that no place is left until the node
+    /// restarts.
     pub fn check_members(&self, members: &[Member]) -> Result<(), String> {
         self.fleet.check_members(members).map_err(|error| error.to_string())?;
         let listed: BTreeSet<MemberId> = members.iter().map(|member| MemberId::of(&member.name)).collect();
-        let voters = self.agreed.as_ref().map_or(&[][..], Agreed::voters);
+        let voters = self.agreement.as_ref().map_or(&[][..], Agreement::voters);
         if let Some(voter) = voters.iter().find(|voter| !listed.contains(*voter)) {
             return Err(format!("{} is a voter, and can't be removed in place", self.name(*voter)));
         }
-        let fresh = members.iter().filter(|member| self.place_of(member).is_none()).count();
-        if self.ids.len() + fresh > MOST_PLACES {
-            return Err("no place is left for a further member until this node starts anew".to_owned());
+        let added = members.iter().filter(|member| self.place_of(member).is_none()).count();
+        if self.ids.len() + added > MAX_PLACES {
+            return Err("no place is left for a further member until this node restarts".to_owned());
         }
         Ok(())
     }
 
-    /// All members from now on. Those that stay keep their places, those that are new get the next ones in the order of
-    /// this list, and those that went leave theirs empty for good: as `Input::Members` of a node's core has it, which
-    /// is to be told the same list in the same turn, after what this says is carried out. A list that
-    /// [`Part::check_members`] refuses changes nothing and is told to the log.
-    pub fn set_members(&mut self, now: Micros, members: Vec<Member>, said: &mut Vec<Said>) {
+    /// Replaces the member list. Members that stay keep their places, new ones get the next places in the
+    /// order of the list, and the places of removed ones are never reused. `Input::Members` of the node's
+    /// core does the same: it has to get the same list in the same turn, after the actions of this call are
+    /// carried out. A list that [`Part::check_members`] refuses changes nothing and is logged.
+    pub fn set_members(&mut self, now: Micros, members: Vec<Member>, out: &mut Vec<Said>) {
         if let Err(why) = self.check_members(&members) {
-            return said.push(Said::Log(true, format!("the members stay as they were: {why}")));
+            return out.push(Said::Log(true, format!("the member list is not changed: {why}")));
         }
-        let fresh: Vec<MemberId> = members
+        let added: Vec<MemberId> = members
             .iter()
             .filter(|member| self.place_of(member).is_none())
             .map(|member| MemberId::of(&member.name))
@@ -50,29 +51,29 @@
         let listed: BTreeSet<MemberId> = members.iter().map(|member| MemberId::of(&member.name)).collect();
         let names: Names =
             Arc::new(members.iter().map(|it| (MemberId::of(&it.name), it.name.clone())).collect());
-        // A last word for those that went still finds their places.
+        // The places of removed members are still needed to send them the last messages.
         self.fleet.handle(now, Input::Members(members.clone()), &mut self.outputs);
-        self.settle(now, said);
+        self.process_outputs(now, out);
         self.places.retain(|id, _| listed.contains(id));
         for id in self.names.keys().filter(|id| !listed.contains(*id)) {
-            self.pieces.forget(*id);
+            self.fragmenter.forget(*id);
         }
-        for id in fresh {
-            self.pieces.forget(id);
+        for id in added {
+            self.fragmenter.forget(id);
             self.places.insert(id, self.ids.len());
             self.ids.push(id);
         }
-        if let Some(agreed) = &mut self.agreed {
-            agreed.rename(names.clone());
+        if let Some(agreement) = &mut self.agreement {
+            agreement.rename(names.clone());
         }
         if let Some(configuration) = &mut self.configuration {
             configuration.set_members(now, &members, names.clone());
         }
         self.names = names;
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    /// Where a member has its place, if it is one under this very name.
+    /// Returns the place of a member, if it is a current member with the same name.
     fn place_of(&self, member: &Member) -> Option<usize> {
         let id = MemberId::of(&member.name);
         self.names.get(&id).filter(|name| **name == member.name).and_then(|_| self.places.get(&id).copied())
--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -1,55 +1,56 @@
-//! The cores joined to one carrier.
+//! Connects the state machines of membership, agreement, configuration and rules check to one carrier.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use lemoncleat_agreement::Batch;
-use lemoncleat_configuration::{self as configured, Calls};
+use lemoncleat_configuration::{self as distribution, Calls};
 use lemoncleat_consistency::{self as consistency, Decider};
 use lemoncleat_fleet::{Carrier, Fleet, Input, Kind, Member, MemberId, Notice, Output, State, Timing};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
 use crate::configuration::Configuration;
-use crate::pieces::{Errand, Pieces};
-use crate::rules::{RulesCheck, Watch};
-use crate::seat::{Agreed, Ask, Seat};
+use crate::pieces::{Fragmenter, PeerMessage};
+use crate::rules::{RulesCheck, RulesWatch};
+use crate::seat::{Action, Agreement, Seat};
 use crate::Micros;
 
-/// The longest message between nodes: as long as the node's core carries.
-const LONGEST: usize = 32 * 1024;
-/// What a node tells of its calls, and how often at the most.
-const FIGURES: Kind = Kind(1);
-const FIGURES_EVERY: Micros = 5_000_000;
-const FIGURES_LIFE: Micros = 20_000_000;
-/// What a node tells of its rules.
-const RULES: Kind = Kind(2);
-/// The shortest tick of the agreement: a store has to be written within a few.
-const LEAST_TICK: Micros = 10_000;
-
-/// What a node tells all others of its calls.
+/// Maximum length of a message between nodes: the limit of the node's core.
+const MAX_MESSAGE_BYTES: usize = 32 * 1024;
+/// The fact with a node's call figures, its minimum interval, and the interval after which unchanged figures
+/// are published again.
+const FIGURES_FACT: Kind = Kind(1);
+const FIGURES_INTERVAL_US: Micros = 5_000_000;
+const FIGURES_REFRESH_US: Micros = 20_000_000;
+/// The fact with a node's rules.
+const RULES_FACT: Kind = Kind(2);
+/// Minimum tick of the agreement. A write to the store has to finish within a few ticks.
+const MIN_TICK_US: Micros = 10_000;
+
+/// The call figures that a node publishes to all others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Calls standing now.
+    /// The number of established calls.
     pub standing: u64,
-    /// Calls being set up now.
+    /// The number of calls in set-up.
     pub setting_up: u64,
-    /// Calls accepted since the start.
+    /// The number of calls accepted since the start.
     pub calls: u64,
 }
 
-/// What a part has to know.
+/// The settings of a part.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The node's own name, one of the members.
+    /// The name of this node, one of the members.
     pub own: Arc<str>,
-    /// All members. The carrier knows them by their place here.
+    /// All members. The carrier identifies them by their place in this list.
     pub members: Vec<Member>,
-    /// The members that agree for all: none, three or five.
+    /// The members that vote in the agreement: none, three or five.
     pub voters: Vec<Arc<str>>,
-    /// The length of a round of the fleet, in microseconds; all its patience follows from it.
+    /// The length of a round of the fleet, in microseconds. All time-outs scale with it.
     pub round: Micros,
-    /// Whether one configuration is agreed for all.
+    /// Whether the fleet agrees on a common configuration.
     pub configuration: bool,
 }
 
@@ -60,65 +61,66 @@
     names.get(&id).map_or_else(|| id.to_string(), |name| name.to_string())
 }
 
-/// What a part asks of its driver, in this order. Members by their place in the settings.
+/// An action for the driver. Actions are carried out in order. Members are given by their place in the
+/// settings.
 #[derive(Debug)]
 pub enum Said {
-    /// Connect to this member, and again whenever the connection is lost.
+    /// Connect to this member, and reconnect whenever the connection is lost.
     Meet(usize),
-    /// Do so no more, and end the connection if this node made it.
+    /// Stop connecting to this member, and close the connection if this node opened it.
     Part(usize),
-    /// Say this to this member, or drop it.
+    /// Send this message to this member, or drop it.
     Word(usize, Vec<u8>),
-    /// Store this, and tell [`Part::stored`].
+    /// Store this batch and call [`Part::stored`].
     Store(Batch),
     /// Answer the operator on this connection.
     Answer(u64, Value),
-    /// Refuse new calls from now on, with this time to come back in microseconds; or take them again.
+    /// Refuse new calls, with this retry time in microseconds; or accept them again if there is none.
     Fence(Option<Micros>),
-    /// For the log: whether it is bad news, and what.
+    /// Log this line; the flag marks a warning.
     Log(bool, String),
-    /// Put this version of the configuration in force, whole or not at all, and tell [`Part::configured`]. Number 0
-    /// and no text: what the node's file says.
+    /// Put this version of the configuration in force atomically and call [`Part::configured`]. Number 0 with
+    /// an empty text stands for the settings of the node's file.
     Configure {
-        /// Its number.
+        /// The number of the version.
         number: u64,
-        /// Its text.
+        /// The text of the version.
         text: String,
     },
-    /// Keep these bytes in place of those before, durably, and tell [`Part::kept`].
+    /// Durably replace the saved copy by these bytes and call [`Part::kept`].
     Keep(Vec<u8>),
-    /// What is in force at the start is decided: calls may be taken.
+    /// The version in force at the start is decided: calls may be accepted.
     Settled,
 }
 
-/// A node's part in its fleet.
+/// The fleet side of one node.
 pub struct Part {
     pub(crate) fleet: Fleet,
-    /// By place, those that went among them.
+    /// The members by place, including removed ones.
     pub(crate) ids: Vec<MemberId>,
-    /// Of the members in force.
+    /// The places of the current members.
     pub(crate) places: BTreeMap<MemberId, usize>,
     pub(crate) names: Names,
-    pub(crate) pieces: Pieces,
-    pub(crate) agreed: Option<Agreed>,
-    watch: Option<Watch>,
+    pub(crate) fragmenter: Fragmenter,
+    pub(crate) agreement: Option<Agreement>,
+    rules_watch: Option<RulesWatch>,
     pub(crate) configuration: Option<Configuration>,
     start: u32,
-    /// The figures told last, and when they are told again though they are the same.
-    told: Option<(Figures, Micros)>,
-    tell_at: Micros,
+    /// The figures published last, and the time at which they are published again even if unchanged.
+    published: Option<(Figures, Micros)>,
+    figures_due: Micros,
     pub(crate) outputs: Vec<Output>,
-    asks: Vec<Ask>,
-    judged: Vec<consistency::Output>,
+    actions: Vec<Action>,
+    check_outputs: Vec<consistency::Output>,
 }
 
 impl Part {
-    /// The part of a node. `start` grows with each start, as Origin-State-Id does (RFC 6733 section 8.16); its random
-    /// choices come from the seed.
+    /// Creates the part of a node. `start` increases with each start of the process, as Origin-State-Id does
+    /// (RFC 6733 section 8.16). The seed determines the random choices.
     ///
     /// # Errors
     ///
-    /// When the members can't be told apart, the node is none of them, or a span is nothing.
+    /// If two members have the same name or identifier, the node is not a member, or a duration is zero.
     pub fn new(
         settings: &Settings,
         seat: Seat,
@@ -127,306 +129,315 @@
     ) -> Result<Part, lemoncleat_fleet::SettingsError> {
         let mut core =
             lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Carrier::Connections);
-        core.max_message = LONGEST;
+        core.max_message = MAX_MESSAGE_BYTES;
         core.timing = timing(settings.round);
         let fleet = Fleet::new(core, start, seed)?;
         let ids: Vec<MemberId> = settings.members.iter().map(|member| MemberId::of(&member.name)).collect();
         let voters: Vec<MemberId> = settings.voters.iter().map(|name| MemberId::of(name)).collect();
-        let tick = (settings.round / 4).max(LEAST_TICK);
+        let tick = (settings.round / 4).max(MIN_TICK_US);
         let known = settings.members.iter().map(|member| member.name.clone());
         let names: Names = Arc::new(ids.iter().copied().zip(known).collect());
-        let mut agreed =
-            (!voters.is_empty()).then(|| Agreed::new(names.clone(), fleet.own(), voters, seat, tick, seed));
+        let mut agreement = (!voters.is_empty())
+            .then(|| Agreement::new(names.clone(), fleet.own(), voters, seat, tick, seed));
         let configuration =
             settings.configuration.then(|| Configuration::new(settings, names.clone(), start, seed));
-        if let (Some(agreed), Some(_)) = (&mut agreed, &configuration) {
-            agreed.learn_on_demand();
+        if let (Some(agreement), Some(_)) = (&mut agreement, &configuration) {
+            agreement.follow_on_demand();
         }
-        let mut asks = Vec::new();
-        if let Some(why) = agreed.as_ref().and_then(Agreed::broken) {
-            asks.push(Ask::Log(true, format!("this voter does not vote, its store can't be used: {why}")));
+        let mut actions = Vec::new();
+        if let Some(why) = agreement.as_ref().and_then(Agreement::store_error) {
+            actions
+                .push(Action::Log(true, format!("this voter does not vote, its store can't be used: {why}")));
         }
         Ok(Part {
             fleet,
             places: ids.iter().copied().enumerate().map(|(place, id)| (id, place)).collect(),
             names,
             ids,
-            pieces: Pieces::default(),
-            agreed,
-            watch: None,
+            fragmenter: Fragmenter::default(),
+            agreement,
+            rules_watch: None,
             configuration,
             start,
-            told: None,
-            tell_at: 0,
+            published: None,
+            figures_due: 0,
             outputs: Vec::new(),
-            asks,
-            judged: Vec::new(),
+            actions,
+            check_outputs: Vec::new(),
         })
     }
 
-    /// Watches from now on that all members of the same rules decide alike. `D` is what decides at this node.
-    pub fn watch<D: Decider + 'static>(&mut self, now: Micros, check: RulesCheck, said: &mut Vec<Said>) {
+    /// Starts to check that all members with the same rules make the same decisions. `D` is the decider of
+    /// this node.
+    pub fn watch<D: Decider + 'static>(&mut self, now: Micros, check: RulesCheck, out: &mut Vec<Said>) {
         let members = self.places.keys().map(|id| id.0).collect();
-        let mut watch = Watch::new::<D>(self.fleet.own().0, self.start, members, &check);
-        watch.handle(now, consistency::Input::Rules(check.rules), &mut self.judged);
-        self.watch = Some(watch);
-        self.settle(now, said);
+        let mut watch = RulesWatch::new::<D>(self.fleet.own().0, self.start, members, &check);
+        watch.handle(now, consistency::Input::Rules(check.rules), &mut self.check_outputs);
+        self.rules_watch = Some(watch);
+        self.process_outputs(now, out);
     }
 
-    /// From when on it has work that nobody waits for; none while there is none.
+    /// Returns the time from which background work is allowed; none while there is no work.
     pub fn work_at(&self) -> Option<Micros> {
-        self.watch.as_ref()?.work_at()
+        self.rules_watch.as_ref()?.work_at()
     }
 
-    /// Does a piece of that work: a few milliseconds at the most, for a moment in which no call waits. How long it
-    /// took is to be told by [`Part::worked`].
-    pub fn work(&mut self, now: Micros, said: &mut Vec<Said>) {
-        if let Some(watch) = &mut self.watch {
-            watch.work(now, &mut self.judged);
+    /// Does a piece of the background work, which takes a few milliseconds at most. It is to be called while
+    /// no call waits, and followed by [`Part::worked`] with the time spent.
+    pub fn work(&mut self, now: Micros, out: &mut Vec<Said>) {
+        if let Some(watch) = &mut self.rules_watch {
+            watch.work(now, &mut self.check_outputs);
         }
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    /// The work that ended now took so long: no more of it until its share of the time allows.
+    /// Takes the time spent on the last piece of work. The next one is delayed to keep to the share of
+    /// processor time.
     pub fn worked(&mut self, now: Micros, spent: Micros) {
-        if let Some(watch) = &mut self.watch {
+        if let Some(watch) = &mut self.rules_watch {
             watch.worked(now, spent);
         }
     }
 
-    /// When it wants a turn at the latest.
+    /// Returns the latest time at which [`Part::timeout`] is due.
     pub fn wake(&self) -> Option<Micros> {
-        let agreed = self.agreed.as_ref().and_then(Agreed::wake);
-        let watch = self.watch.as_ref().and_then(Watch::wake);
+        let agreement = self.agreement.as_ref().and_then(Agreement::wake);
+        let watch = self.rules_watch.as_ref().and_then(RulesWatch::wake);
         let configuration = self.configuration.as_ref().and_then(Configuration::wake);
         self.fleet
             .wake()
             .into_iter()
-            .chain(agreed)
+            .chain(agreement)
             .chain(watch)
             .chain(configuration)
-            .chain([self.tell_at])
+            .chain([self.figures_due])
             .min()
     }
 
-    /// Time has passed, and this is what the node has done so far.
-    pub fn timeout(&mut self, now: Micros, figures: Figures, said: &mut Vec<Said>) {
-        if self.tell_at <= now {
-            self.tell_at = now + FIGURES_EVERY;
-            let told = self.told.filter(|(told, until)| *told == figures && now < *until);
-            if let (Ok(bytes), None) = (postcard::to_allocvec(&figures), told) {
-                self.fleet.handle(now, Input::Publish { kind: FIGURES, bytes }, &mut self.outputs);
-                self.told = Some((figures, now + FIGURES_LIFE));
+    /// Handles a timeout, with the current figures of the node.
+    pub fn timeout(&mut self, now: Micros, figures: Figures, out: &mut Vec<Said>) {
+        if self.figures_due <= now {
+            self.figures_due = now + FIGURES_INTERVAL_US;
+            let current = self.published.filter(|(published, until)| *published == figures && now < *until);
+            if let (Ok(bytes), None) = (postcard::to_allocvec(&figures), current) {
+                self.fleet.handle(now, Input::Publish { kind: FIGURES_FACT, bytes }, &mut self.outputs);
+                self.published = Some((figures, now + FIGURES_REFRESH_US));
             }
         }
         if self.fleet.wake().is_none_or(|wake| wake <= now) {
             self.fleet.handle(now, Input::Timeout, &mut self.outputs);
         }
-        if let Some(agreed) = &mut self.agreed {
-            agreed.timeout(now, &mut self.asks);
+        if let Some(agreement) = &mut self.agreement {
+            agreement.timeout(now, &mut self.actions);
         }
         if let Some(configuration) = &mut self.configuration {
-            configuration.handle(now, configured::Input::Calls(configuration.calls));
+            configuration.handle(now, distribution::Input::Calls(configuration.calls));
         }
-        if self.watch.as_ref().and_then(Watch::wake).is_some_and(|wake| wake <= now) {
-            self.tell_watch(now, consistency::Input::Timeout);
+        if self.rules_watch.as_ref().and_then(RulesWatch::wake).is_some_and(|wake| wake <= now) {
+            self.check_input(now, consistency::Input::Timeout);
         }
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    /// A connection with a member stands, or stands no more.
-    pub fn linked(&mut self, now: Micros, place: usize, linked: bool, said: &mut Vec<Said>) {
+    /// Handles that the connection with a member was established or closed.
+    pub fn linked(&mut self, now: Micros, place: usize, linked: bool, out: &mut Vec<Said>) {
         let Some(id) = self.ids.get(place).copied() else { return };
         if !linked {
-            self.pieces.forget(id);
+            self.fragmenter.forget(id);
         }
         let input = if linked { Input::Linked(id) } else { Input::Unlinked(id) };
         self.fleet.handle(now, input, &mut self.outputs);
         if let Some(configuration) = &mut self.configuration {
-            use configured::Input::{Linked, Unlinked};
-            configuration.handle(now, if linked { Linked(id.0) } else { Unlinked(id.0) });
+            use distribution::Input::{Connected, Disconnected};
+            configuration.handle(now, if linked { Connected(id.0) } else { Disconnected(id.0) });
         }
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    /// A member said something.
-    pub fn heard(&mut self, now: Micros, place: usize, bytes: &[u8], said: &mut Vec<Said>) {
+    /// Handles a message of a member.
+    pub fn heard(&mut self, now: Micros, place: usize, bytes: &[u8], out: &mut Vec<Said>) {
         let Some(from) = self.ids.get(place).copied() else { return };
         self.fleet.handle(now, Input::Heard { from, bytes }, &mut self.outputs);
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    /// A batch is stored, or could not be, and why.
-    pub fn stored(&mut self, now: Micros, batch: u64, result: Result<(), String>, said: &mut Vec<Said>) {
-        if let Some(agreed) = &mut self.agreed {
-            agreed.stored(now, batch, result, &mut self.asks);
+    /// Handles the result of [`Said::Store`].
+    pub fn stored(&mut self, now: Micros, batch: u64, result: Result<(), String>, out: &mut Vec<Said>) {
+        if let Some(agreement) = &mut self.agreement {
+            agreement.stored(now, batch, result, &mut self.actions);
         }
-        self.settle(now, said);
+        self.process_outputs(now, out);
     }
 
-    pub(crate) fn settle(&mut self, now: Micros, said: &mut Vec<Said>) {
-        self.tell_agreed(now);
+    pub(crate) fn process_outputs(&mut self, now: Micros, out: &mut Vec<Said>) {
+        self.update_ledger(now);
         while !self.outputs.is_empty()
-            || !self.asks.is_empty()
-            || !self.judged.is_empty()
+            || !self.actions.is_empty()
+            || !self.check_outputs.is_empty()
             || self.configuration.as_ref().is_some_and(|own| !own.outputs.is_empty())
         {
             for output in std::mem::take(&mut self.outputs) {
-                self.output(now, output, said);
+                self.fleet_output(now, output, out);
             }
-            for ask in std::mem::take(&mut self.asks) {
-                self.ask(now, ask, said);
+            for action in std::mem::take(&mut self.actions) {
+                self.perform(now, action, out);
             }
-            for judged in std::mem::take(&mut self.judged) {
-                self.judge(now, judged, said);
+            for output in std::mem::take(&mut self.check_outputs) {
+                self.check_output(now, output, out);
             }
             let outputs = self.configuration.as_mut().map(|own| std::mem::take(&mut own.outputs));
             for output in outputs.into_iter().flatten() {
-                self.distribute(now, output, said);
+                self.distributor_output(now, output, out);
             }
-            self.tell_agreed(now);
+            self.update_ledger(now);
         }
     }
 
-    /// Tells the configuration what became of its commands.
-    fn tell_agreed(&mut self, now: Micros) {
-        if let (Some(configuration), Some(agreed)) = (&mut self.configuration, &mut self.agreed) {
-            let (ledger, leading) = agreed.ledger();
-            configuration.agreed(now, ledger, leading);
+    /// Passes the state of the ledger to the configuration.
+    fn update_ledger(&mut self, now: Micros) {
+        if let (Some(configuration), Some(agreement)) = (&mut self.configuration, &mut self.agreement) {
+            let (ledger, leading) = agreement.ledger();
+            configuration.ledger_updated(now, ledger, leading);
         }
     }
 
-    /// Carries out what the configuration says.
-    fn distribute(&mut self, now: Micros, output: configured::Output, said: &mut Vec<Said>) {
+    /// Carries out an output of the configuration.
+    fn distributor_output(&mut self, now: Micros, output: distribution::Output, out: &mut Vec<Said>) {
         let Some(configuration) = &self.configuration else { return };
         match output {
-            configured::Output::Tell { to, bytes } => {
-                self.asks.push(Ask::Say(MemberId(to), Errand::Configuration(bytes)));
+            distribution::Output::Send { to, bytes } => {
+                self.actions.push(Action::Send(MemberId(to), PeerMessage::Configuration(bytes)));
             }
-            configured::Output::Try { number, text } => said.push(Said::Configure { number, text }),
-            configured::Output::Keep(bytes) => said.push(Said::Keep(bytes)),
-            configured::Output::Settled => said.push(Said::Settled),
-            configured::Output::Propose(command) => {
-                if let Some(agreed) = &mut self.agreed {
-                    agreed.command(now, command, &mut self.asks);
+            distribution::Output::Apply { number, text } => out.push(Said::Configure { number, text }),
+            distribution::Output::Persist(bytes) => out.push(Said::Keep(bytes)),
+            distribution::Output::Ready => out.push(Said::Settled),
+            distribution::Output::Propose(command) => {
+                if let Some(agreement) = &mut self.agreement {
+                    agreement.propose_configuration(now, command, &mut self.actions);
                 }
             }
-            configured::Output::Answer { conn, answer } => {
-                said.push(Said::Answer(conn, configuration.answer(answer)));
+            distribution::Output::Answer { conn, answer } => {
+                out.push(Said::Answer(conn, configuration.answer(answer)));
             }
-            configured::Output::Notice(notice) => {
-                let (bad, text) = configuration.told(&notice);
-                said.push(Said::Log(bad, text));
+            distribution::Output::Notice(notice) => {
+                let (bad, text) = configuration.describe(&notice);
+                out.push(Said::Log(bad, text));
             }
         }
     }
 
-    fn tell_configuration(
+    fn distributor_input(
         &mut self,
         now: Micros,
-        input: configured::Input<'_>,
-        said: &mut Vec<Said>,
+        input: distribution::Input<'_>,
+        out: &mut Vec<Said>,
     ) -> bool {
         let Some(configuration) = &mut self.configuration else { return false };
         configuration.handle(now, input);
-        self.settle(now, said);
+        self.process_outputs(now, out);
         true
     }
 
-    fn tell_watch(&mut self, now: Micros, input: consistency::Input) {
-        if let Some(watch) = &mut self.watch {
-            // One that is only suspected may well decide.
-            let there = self.fleet.members().filter(|(_, _, state, _)| *state != State::Gone);
-            let alive = consistency::Input::Alive(there.map(|(id, ..)| id.0).collect());
-            watch.handle(now, alive, &mut self.judged);
-            watch.handle(now, input, &mut self.judged);
+    fn check_input(&mut self, now: Micros, input: consistency::Input) {
+        if let Some(watch) = &mut self.rules_watch {
+            // A suspected member may still be making decisions.
+            let present = self.fleet.members().filter(|(_, _, state, _)| *state != State::Gone);
+            let alive = consistency::Input::Alive(present.map(|(id, ..)| id.0).collect());
+            watch.handle(now, alive, &mut self.check_outputs);
+            watch.handle(now, input, &mut self.check_outputs);
         }
     }
 
-    /// Carries out what the check of the rules says.
-    fn judge(&mut self, now: Micros, output: consistency::Output, said: &mut Vec<Said>) {
+    /// Carries out an output of the rules check.
+    fn check_output(&mut self, now: Micros, output: consistency::Output, out: &mut Vec<Said>) {
         match output {
             consistency::Output::Publish(bytes) => {
-                self.fleet.handle(now, Input::Publish { kind: RULES, bytes }, &mut self.outputs);
+                self.fleet.handle(now, Input::Publish { kind: RULES_FACT, bytes }, &mut self.outputs);
             }
             consistency::Output::Direct { to, bytes } => {
-                self.asks.push(Ask::Say(MemberId(to), Errand::Rules(bytes)));
+                self.actions.push(Action::Send(MemberId(to), PeerMessage::Rules(bytes)));
             }
-            consistency::Output::Fence(come_back) => said.push(Said::Fence(come_back)),
+            consistency::Output::Fence(retry_after) => out.push(Said::Fence(retry_after)),
             consistency::Output::Notice(notice) => {
-                said.extend(crate::rules::told(&self.names, &notice).map(|(bad, text)| Said::Log(bad, text)));
+                out.extend(
+                    crate::rules::describe(&self.names, &notice).map(|(bad, text)| Said::Log(bad, text)),
+                );
             }
-            // Played by the watch itself; and nobody seals windows yet.
+            // Cases are run by the watch itself, and windows are not sealed yet.
             consistency::Output::Cases | consistency::Output::Play { .. } => {}
         }
     }
 
-    fn output(&mut self, now: Micros, output: Output, said: &mut Vec<Said>) {
+    fn fleet_output(&mut self, now: Micros, output: Output, out: &mut Vec<Said>) {
         let place = |id: MemberId| self.places.get(&id).copied();
         match output {
-            Output::Tell { to, bytes } => said.extend(place(to).map(|place| Said::Word(place, bytes))),
-            Output::Meet(id) => said.extend(place(id).map(Said::Meet)),
-            Output::Part(id) => said.extend(place(id).map(Said::Part)),
+            Output::Tell { to, bytes } => out.extend(place(to).map(|place| Said::Word(place, bytes))),
+            Output::Meet(id) => out.extend(place(id).map(Said::Meet)),
+            Output::Part(id) => out.extend(place(id).map(Said::Part)),
             Output::Direct { from, bytes } => {
-                match (self.pieces.join(from, &bytes), &mut self.agreed, &mut self.watch) {
-                    (Some(Errand::Configuration(bytes)), ..) => {
+                match (self.fragmenter.reassemble(from, &bytes), &mut self.agreement, &mut self.rules_watch) {
+                    (Some(PeerMessage::Configuration(bytes)), ..) => {
                         if let Some(configuration) = &mut self.configuration {
-                            let input = configured::Input::Heard { from: from.0, bytes: &bytes };
+                            let input = distribution::Input::Received { from: from.0, bytes: &bytes };
                             configuration.handle(now, input);
                         }
                     }
-                    (Some(Errand::Rules(bytes)), _, Some(watch)) => watch.direct(from, bytes),
-                    (Some(errand), Some(agreed), _) => agreed.errand(now, from, errand, &mut self.asks),
+                    (Some(PeerMessage::Rules(bytes)), _, Some(watch)) => watch.direct(from, bytes),
+                    (Some(message), Some(agreement), _) => {
+                        agreement.message_received(now, from, message, &mut self.actions)
+                    }
                     _ => {}
                 }
             }
             Output::State { member, state, .. } => {
                 let (alive, of, member) = (self.fleet.alive(), self.places.len(), self.name(member));
-                said.push(match state {
+                out.push(match state {
                     State::Alive => Said::Log(false, format!("{member} is there, {alive} of {of} are")),
                     State::Suspect => Said::Log(false, format!("{member} is suspected")),
                     State::Gone => Said::Log(true, format!("{member} is gone, {alive} of {of} are there")),
                 });
-                self.tell_watch(now, consistency::Input::Timeout);
+                self.check_input(now, consistency::Input::Timeout);
             }
-            Output::Fact(fact) if fact.kind == RULES => {
+            Output::Fact(fact) if fact.kind == RULES_FACT => {
                 let incarnation = u64::from(lemoncleat_fleet::start_of(fact.incarnation));
                 let (from, age, bytes) = (fact.origin.0, fact.age, fact.bytes);
-                self.tell_watch(now, consistency::Input::Heard { from, incarnation, age, bytes });
+                self.check_input(now, consistency::Input::Heard { from, incarnation, age, bytes });
             }
-            Output::Notice(notice) => said.push(self.told(notice)),
-            // Read when they are needed.
+            Output::Notice(notice) => out.push(self.describe_notice(notice)),
+            // Facts are read on demand.
             Output::Fact(_) => {}
         }
     }
 
-    fn ask(&mut self, now: Micros, ask: Ask, said: &mut Vec<Said>) {
-        match ask {
-            Ask::Say(to, errand) => {
-                let words = self.pieces.split(&errand);
-                if words.is_empty() {
-                    said.push(Said::Log(true, format!("a word for {} is too long", self.name(to))));
+    fn perform(&mut self, now: Micros, action: Action, out: &mut Vec<Said>) {
+        match action {
+            Action::Send(to, message) => {
+                let frames = self.fragmenter.split(&message);
+                if frames.is_empty() {
+                    out.push(Said::Log(true, format!("a message for {} is too long", self.name(to))));
                 }
-                for bytes in words {
+                for bytes in frames {
                     self.fleet.handle(now, Input::Direct { to, bytes }, &mut self.outputs);
                 }
             }
-            Ask::Answer(conn, answer) => said.push(Said::Answer(conn, answer)),
-            Ask::Store(batch) => said.push(Said::Store(batch)),
-            Ask::Log(bad, text) => said.push(Said::Log(bad, text)),
+            Action::Answer(conn, answer) => out.push(Said::Answer(conn, answer)),
+            Action::Store(batch) => out.push(Said::Store(batch)),
+            Action::Log(bad, text) => out.push(Said::Log(bad, text)),
         }
     }
 
-    fn told(&self, notice: Notice) -> Said {
+    fn describe_notice(&self, notice: Notice) -> Said {
         let text = match notice {
-            Notice::Stranger(id) => format!("a word of a process that is no member: {id}"),
-            Notice::Impostor(id) => format!("{} says words in another's name", self.name(id)),
+            Notice::Stranger(id) => format!("a message of a process that is no member: {id}"),
+            Notice::Impostor(id) => format!("{} sends messages in the name of another member", self.name(id)),
             Notice::Unreadable(id) => format!("a word of {} can't be read", self.name(id)),
             Notice::Jumped => "the fleet remembers a later start of this node: clock set back?".to_owned(),
-            Notice::Paused(span) => format!("no turn for {:.1} s", span as f64 / 1e6),
+            Notice::Paused(span) => format!("the process was paused for {:.1} s", span as f64 / 1e6),
             Notice::DirectDropped(id) => format!("words for {} were dropped", self.name(id)),
-            Notice::FactDropped(id) => format!("facts of {} beyond the limits", self.name(id)),
-            Notice::MembersRefused(count) => format!("a list of {count} members can't be used"),
+            Notice::FactDropped(id) => {
+                format!("facts of {} exceed the limits and were dropped", self.name(id))
+            }
+            Notice::MembersRefused(count) => format!("a list of {count} members was refused"),
         };
         Said::Log(!matches!(notice, Notice::DirectDropped(_)), text)
     }
@@ -435,16 +446,16 @@
         name(&self.names, id)
     }
 
-    // ---- The operators ----
+    // ---- Operators ----
 
-    /// Who is there.
+    /// Returns the members with their state and figures, for an operator.
     pub fn members(&self, now: Micros) -> Value {
         let figures: BTreeMap<MemberId, (Micros, Figures)> = self
             .fleet
-            .facts(now, FIGURES)
+            .facts(now, FIGURES_FACT)
             .filter_map(|fact| Some((fact.origin, (fact.age, postcard::from_bytes(&fact.bytes).ok()?))))
             .collect();
-        let rules = self.fleet.facts(now, RULES);
+        let rules = self.fleet.facts(now, RULES_FACT);
         let rules: BTreeMap<MemberId, _> =
             rules.filter_map(|fact| Some((fact.origin, consistency::told(&fact.bytes)?))).collect();
         let members: Vec<Value> = self
@@ -457,19 +468,19 @@
                     State::Gone => "gone",
                 };
                 let start = lemoncleat_fleet::start_of(incarnation);
-                let mut told =
+                let mut entry =
                     json!({"host": &*member.name, "zone": &*member.zone, "state": state, "start": start});
                 if let Some((version, root)) = rules.get(&id) {
-                    told["rules"] = version.to_string().into();
-                    told["decides"] = root.map(|root| root.to_string()).into();
+                    entry["rules"] = version.to_string().into();
+                    entry["decides"] = root.map(|root| root.to_string()).into();
                 }
                 if let Some((age, figures)) = figures.get(&id) {
-                    told["age_ms"] = (age / 1_000).into();
-                    told["standing"] = figures.standing.into();
-                    told["setting_up"] = figures.setting_up.into();
-                    told["calls"] = figures.calls.into();
+                    entry["age_ms"] = (age / 1_000).into();
+                    entry["standing"] = figures.standing.into();
+                    entry["setting_up"] = figures.setting_up.into();
+                    entry["calls"] = figures.calls.into();
                 }
-                told
+                entry
             })
             .collect();
         let stats = self.fleet.stats();
@@ -481,55 +492,56 @@
         })
     }
 
-    /// How the agreement stands.
+    /// Returns the state of the agreement; none without voters.
     pub fn agreement(&self) -> Option<Value> {
-        Some(self.agreed.as_ref()?.status())
+        Some(self.agreement.as_ref()?.status())
     }
 
-    /// The marks after an entry.
+    /// Returns the marks after a log index; none without voters.
     pub fn marks(&self, after: u64) -> Option<Value> {
-        Some(self.agreed.as_ref()?.marks(after))
+        Some(self.agreement.as_ref()?.marks(after))
     }
 
-    /// An operator's mark; answered when it is agreed. False where nothing is ever agreed.
-    pub fn mark(&mut self, now: Micros, conn: u64, order: &str, text: &str, said: &mut Vec<Said>) -> bool {
-        let Some(agreed) = &mut self.agreed else { return false };
-        agreed.mark(now, conn, order, text, &mut self.asks);
-        self.settle(now, said);
+    /// Proposes an operator's mark. It is answered by [`Said::Answer`] when it is agreed. Returns false
+    /// without voters.
+    pub fn mark(&mut self, now: Micros, conn: u64, order: &str, text: &str, out: &mut Vec<Said>) -> bool {
+        let Some(agreement) = &mut self.agreement else { return false };
+        agreement.mark(now, conn, order, text, &mut self.actions);
+        self.process_outputs(now, out);
         true
     }
 
-    /// Other rules are in force at this node from now on: what it tells and checks follows.
-    pub fn rules(&mut self, now: Micros, rules: consistency::Rules, said: &mut Vec<Said>) {
-        self.tell_watch(now, consistency::Input::Rules(rules));
-        self.settle(now, said);
+    /// Changes the rules in force at this node, which it publishes and checks.
+    pub fn rules(&mut self, now: Micros, rules: consistency::Rules, out: &mut Vec<Said>) {
+        self.check_input(now, consistency::Input::Rules(rules));
+        self.process_outputs(now, out);
     }
 
-    /// What the disk held of the configuration at the start (none: nothing), or why it can't be read. Once, before the
-    /// first turn.
-    pub fn found(&mut self, now: Micros, kept: Result<Option<Vec<u8>>, String>, said: &mut Vec<Said>) {
-        self.tell_configuration(now, configured::Input::Found(kept), said);
+    /// Takes the saved copy of the configuration read from disk (none if there is no copy), or the reason why
+    /// it can't be read. To be called once, before all other input.
+    pub fn found(&mut self, now: Micros, kept: Result<Option<Vec<u8>>, String>, out: &mut Vec<Said>) {
+        self.distributor_input(now, distribution::Input::Loaded(kept), out);
     }
 
-    /// What became of [`Said::Configure`].
-    pub fn configured(&mut self, now: Micros, number: u64, result: Result<(), String>, said: &mut Vec<Said>) {
-        self.tell_configuration(now, configured::Input::Configured { number, result }, said);
+    /// Handles the result of [`Said::Configure`].
+    pub fn configured(&mut self, now: Micros, number: u64, result: Result<(), String>, out: &mut Vec<Said>) {
+        self.distributor_input(now, distribution::Input::Applied { number, result }, out);
     }
 
-    /// What became of [`Said::Keep`].
-    pub fn kept(&mut self, now: Micros, result: Result<(), String>, said: &mut Vec<Said>) {
-        self.tell_configuration(now, configured::Input::Kept(result), said);
+    /// Handles the result of [`Said::Keep`].
+    pub fn kept(&mut self, now: Micros, result: Result<(), String>, out: &mut Vec<Said>) {
+        self.distributor_input(now, distribution::Input::Persisted(result), out);
     }
 
-    /// The node's calls since its start, cumulative; to be told before [`Part::timeout`].
+    /// Takes the node's cumulative call counters since its start. To be called before [`Part::timeout`].
     pub fn calls(&mut self, calls: Calls) {
         if let Some(configuration) = &mut self.configuration {
             configuration.calls = calls;
         }
     }
 
-    /// An operator's change, its text checked by the driver. Answered by [`Said::Answer`] within 10 s. False where there
-    /// is no configuration.
+    /// Proposes an operator's change, whose text the driver has validated. It is answered by [`Said::Answer`]
+    /// within 10 s. Returns false without a configuration.
     pub fn configure(
         &mut self,
         now: Micros,
@@ -537,26 +549,26 @@
         order: &str,
         parent: u64,
         text: &str,
-        said: &mut Vec<Said>,
+        out: &mut Vec<Said>,
     ) -> bool {
-        self.tell_configuration(now, configured::Input::Change { conn, order, parent, text }, said)
+        self.distributor_input(now, distribution::Input::Change { conn, order, parent, text }, out)
     }
 
-    /// This node's own state of the configuration; none where there is none.
+    /// Returns the configuration state of this node; none without a configuration.
     pub fn configuration(&self, now: Micros) -> Option<Value> {
         Some(self.configuration.as_ref()?.status(now))
     }
 
-    /// Asks the fleet who has what in force. Answered by [`Said::Answer`] within 3 s. False where there is no
-    /// configuration.
-    pub fn configurations(&mut self, now: Micros, conn: u64, said: &mut Vec<Said>) -> bool {
-        self.tell_configuration(now, configured::Input::Query { conn }, said)
+    /// Queries the versions in force at all members. It is answered by [`Said::Answer`] within 3 s. Returns
+    /// false without a configuration.
+    pub fn configurations(&mut self, now: Micros, conn: u64, out: &mut Vec<Said>) -> bool {
+        self.distributor_input(now, distribution::Input::Query { conn }, out)
     }
 
-    /// The operator's connection is gone.
+    /// Drops the pending requests of an operator whose connection was closed.
     pub fn operator_left(&mut self, conn: u64) {
-        if let Some(agreed) = &mut self.agreed {
-            agreed.operator_left(conn);
+        if let Some(agreement) = &mut self.agreement {
+            agreement.operator_left(conn);
         }
         if let Some(configuration) = &mut self.configuration {
             configuration.operator_left(conn);
@@ -564,7 +576,7 @@
     }
 }
 
-/// The fleet's patience, from the length of its rounds.
+/// Scales the fleet's time-outs with the length of its rounds.
 fn timing(round: Micros) -> Timing {
     let usual = Timing::default();
     let scaled = |span: Micros| (span.saturating_mul(round) / usual.round).max(1_000);
--- a/crates/lemoncleat-commons/src/rules.rs
+++ b/crates/lemoncleat-commons/src/rules.rs
@@ -1,4 +1,4 @@
-//! The check that members of the same rules decide alike, as a part carries it.
+//! Runs the check that members with the same rules make the same decisions.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -9,37 +9,38 @@
 use crate::part::{name, Names};
 use crate::Micros;
 
-/// Most words of others' checkers that wait for a moment in which no call does; what is beyond is lost, as any may.
-const MOST_WORDS: usize = 64;
+/// Maximum number of messages of other checkers that wait for idle time. More are dropped; the checkers
+/// tolerate loss.
+const MAX_QUEUED_MESSAGES: usize = 64;
 
-/// What the check has to know.
+/// The settings of the rules check.
 #[derive(Clone, Debug)]
 pub struct RulesCheck {
     /// The rules in force.
     pub rules: Rules,
-    /// What it may do.
+    /// The limits of the check.
     pub limits: Limits,
-    /// The share of the processor that it may take, in thousandths; at least one.
+    /// The share of the processor time that the check may use, in thousandths; at least one.
     pub processor: u32,
 }
 
-/// A checker and its cases, whatever decides.
-trait Core: Send {
+/// A checker and its cases, independent of the type of the decider.
+trait ErasedChecker: Send {
     fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>);
     fn wake(&self) -> Option<Micros>;
-    /// Whether cases are to be played.
-    fn busy(&self) -> bool;
-    /// Plays one.
-    fn play(&mut self, now: Micros, out: &mut Vec<Output>);
+    /// Returns whether cases remain to be run.
+    fn has_cases(&self) -> bool;
+    /// Runs one case.
+    fn run_case(&mut self, now: Micros, out: &mut Vec<Output>);
 }
 
-struct Checked<D> {
+struct CheckerWithCases<D> {
     checker: Checker<D>,
     rules: Option<Rules>,
     cases: Option<Cases<D>>,
 }
 
-impl<D: Decider> Core for Checked<D> {
+impl<D: Decider> ErasedChecker for CheckerWithCases<D> {
     fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         if let Input::Rules(rules) = &input {
             self.rules = Some(rules.clone());
@@ -55,14 +56,14 @@
         self.checker.wake()
     }
 
-    fn busy(&self) -> bool {
+    fn has_cases(&self) -> bool {
         self.cases.is_some()
     }
 
-    fn play(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn run_case(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(mut cases) = self.cases.take() else { return };
-        // A module that gives up on a case must not take the calls with it. Such a node has no root, and is compared
-        // with nobody.
+        // A decider that panics on a case must not end the call processing. Such a node publishes no root and
+        // is not compared with others.
         let Ok(tree) = catch_unwind(AssertUnwindSafe(|| cases.advance(1))) else { return };
         match tree {
             Some(tree) => self.handle(now, Input::Proved(tree), out),
@@ -71,72 +72,74 @@
     }
 }
 
-/// The check at one node. What takes time in it waits for [`Watch::work`].
-pub(crate) struct Watch {
-    core: Box<dyn Core>,
-    words: VecDeque<(MemberId, Vec<u8>)>,
+/// The rules check at one node. Its long computations are deferred to [`RulesWatch::work`].
+pub(crate) struct RulesWatch {
+    checker: Box<dyn ErasedChecker>,
+    queued: VecDeque<(MemberId, Vec<u8>)>,
     processor: u32,
-    /// No work before this.
-    next: Micros,
+    /// The earliest time of the next piece of work.
+    work_after: Micros,
 }
 
-impl Watch {
-    /// Members by their identifiers, which are the same at all nodes whatever the order of their settings.
+impl RulesWatch {
+    /// Creates the check. Members are given by their identifiers, which do not depend on the order in the
+    /// settings.
     pub(crate) fn new<D: Decider + 'static>(
         own: u32,
         start: u32,
         members: BTreeSet<u32>,
         check: &RulesCheck,
-    ) -> Watch {
+    ) -> RulesWatch {
         let checker = Checker::new(own, start.into(), members, check.limits);
-        let core: Box<dyn Core> = Box::new(Checked::<D> { checker, rules: None, cases: None });
-        Watch { core, words: VecDeque::new(), processor: check.processor.max(1), next: 0 }
+        let checker: Box<dyn ErasedChecker> =
+            Box::new(CheckerWithCases::<D> { checker, rules: None, cases: None });
+        RulesWatch { checker, queued: VecDeque::new(), processor: check.processor.max(1), work_after: 0 }
     }
 
     pub(crate) fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        self.core.handle(now, input, out);
+        self.checker.handle(now, input, out);
     }
 
-    /// Another's checker said something: to answer may take as long as a case.
+    /// Queues a message of another checker, as its answer may take as long as a case.
     pub(crate) fn direct(&mut self, from: MemberId, bytes: Vec<u8>) {
-        if self.words.len() < MOST_WORDS {
-            self.words.push_back((from, bytes));
+        if self.queued.len() < MAX_QUEUED_MESSAGES {
+            self.queued.push_back((from, bytes));
         }
     }
 
     pub(crate) fn wake(&self) -> Option<Micros> {
-        self.core.wake()
+        self.checker.wake()
     }
 
     pub(crate) fn work_at(&self) -> Option<Micros> {
-        (self.core.busy() || !self.words.is_empty()).then_some(self.next)
+        (self.checker.has_cases() || !self.queued.is_empty()).then_some(self.work_after)
     }
 
     pub(crate) fn work(&mut self, now: Micros, out: &mut Vec<Output>) {
-        match self.words.pop_front() {
-            Some((from, bytes)) => self.core.handle(now, Input::Direct { from: from.0, bytes }, out),
-            None => self.core.play(now, out),
+        match self.queued.pop_front() {
+            Some((from, bytes)) => self.checker.handle(now, Input::Direct { from: from.0, bytes }, out),
+            None => self.checker.run_case(now, out),
         }
     }
 
     pub(crate) fn worked(&mut self, now: Micros, spent: Micros) {
-        let rest = spent.max(1).saturating_mul(1_000) / Micros::from(self.processor);
-        self.next = now.saturating_add(rest);
+        let pause = spent.max(1).saturating_mul(1_000) / Micros::from(self.processor);
+        self.work_after = now.saturating_add(pause);
     }
 }
 
-/// A notice as a line of the log, and whether it is bad news.
-pub(crate) fn told(names: &Names, notice: &Notice) -> Option<(bool, String)> {
-    let of = |node: u32| name(names, MemberId(node));
+/// Returns the log line of a notice, and whether it is a warning.
+pub(crate) fn describe(names: &Names, notice: &Notice) -> Option<(bool, String)> {
+    let name_of = |node: u32| name(names, MemberId(node));
     let seconds = |span: Micros| span as f64 / 1e6;
-    let parts = |difference: &Difference| match difference {
+    let describe_difference = |difference: &Difference| match difference {
         Difference::Settings => "its settings are not those of its version".to_owned(),
         Difference::Plan => "its numbering plan is not that of its version".to_owned(),
-        Difference::Step(step, _) => format!("other actions from step {step} on"),
-        Difference::State(_) => "another state at the end".to_owned(),
+        Difference::Step(step, _) => format!("its actions differ from step {step} on"),
+        Difference::State(_) => "its state differs at the end".to_owned(),
     };
     Some(match notice {
-        // Told at the start by whoever read the settings.
+        // Logged at the start by the reader of the settings.
         Notice::Version(_) => return None,
         Notice::Versions { count, held } => {
             (true, format!("the fleet holds {count} versions of the rules, for {:.1} s now", seconds(*held)))
@@ -147,7 +150,7 @@
         }
         Notice::Odd { node, against, arithmetic } => {
             let cause = if *arithmetic { "; its arithmetic differs too, the likely cause" } else { "" };
-            (true, format!("{} decides otherwise than {against} nodes of its version{cause}", of(*node)))
+            (true, format!("{} decides otherwise than {against} nodes of its version{cause}", name_of(*node)))
         }
         Notice::Undecided { roots, nodes } => {
             let text = "nodes of one version decide in";
@@ -155,7 +158,7 @@
         }
         Notice::Agreed => (false, "all nodes of this version decide alike again".to_owned()),
         Notice::Differs { node, case, step, ours, theirs } => {
-            let node = of(*node);
+            let node = name_of(*node);
             let text = format!("first difference to {node}: case {case}, step {step}");
             (true, format!("{text}; here {ours}; there {theirs}"))
         }
@@ -163,22 +166,22 @@
             true,
             format!(
                 "work of {} came out otherwise here (window {id:016x}): {}",
-                of(*node),
-                parts(difference)
+                name_of(*node),
+                describe_difference(difference)
             ),
         ),
         Notice::OwnWindow { number, difference, judges: [one, two], again } => {
-            let (one, two) = (of(*one), of(*two));
+            let (one, two) = (name_of(*one), name_of(*two));
             let text = format!("{one} and {two} differ from this node's work (window {number})");
-            (true, format!("{text}: {}; played again here: {again:?}", parts(difference)))
+            (true, format!("{text}: {}; replayed here: {again:?}", describe_difference(difference)))
         }
         Notice::Split { number } => (true, format!("the judges of this node's window {number} don't agree")),
         Notice::Unplayable { node, id, why } => {
-            (false, format!("window {id:016x} of {} can't be played: {why:?}", of(*node)))
+            (false, format!("window {id:016x} of {} can't be replayed: {why:?}", name_of(*node)))
         }
         Notice::Checked { same } => {
-            let came = if *same { "to the same result" } else { "to ANOTHER result than before" };
-            (true, format!("the cases were played a second time and came {came}"))
+            let outcome = if *same { "the same result" } else { "ANOTHER result than before" };
+            (true, format!("the cases were run a second time and gave {outcome}"))
         }
         Notice::Fenced => (
             true,
--- a/crates/lemoncleat-commons/src/seat.rs
+++ b/crates/lemoncleat-commons/src/seat.rs
@@ -1,4 +1,4 @@
-//! The node's seat in the agreement: a voter with its store, or a follower; and the state that the log makes.
+//! The node's role in the agreement, as a voter with a store or as a follower, and the replicated state.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -11,24 +11,25 @@
 use serde_json::{json, Value};
 
 use crate::part::{name, Names};
-use crate::pieces::Errand;
+use crate::pieces::PeerMessage;
 use crate::state::{Command, State, LONGEST_ORDER, LONGEST_TEXT};
 use crate::Micros;
 
-/// How long an operator waits for what he asked to be agreed.
-const PATIENCE: Micros = 10_000_000;
-/// Most orders that wait to be agreed.
-const MOST_WISHES: usize = 1_024;
-/// Entries after which the log is cut.
-const SNAPSHOT_EVERY: u64 = 1_000;
-/// What a node's seat in the agreement rests on.
+/// Time within which an operator's order has to be agreed.
+const ORDER_TIMEOUT_US: Micros = 10_000_000;
+/// Maximum number of pending orders.
+const MAX_PENDING_ORDERS: usize = 1_024;
+/// Entries after which the log is replaced by a snapshot.
+const SNAPSHOT_INTERVAL: u64 = 1_000;
+
+/// The role of a node in the agreement.
 #[derive(Debug)]
 pub enum Seat {
-    /// A voter, with what its store held.
+    /// A voter, with the content of its store.
     Voter(Found),
-    /// A voter whose store can't be used, and why: it follows, and calls go on.
+    /// A voter whose store can't be used, with the reason. It only follows, and its calls go on.
     Broken(String),
-    /// No voter.
+    /// A member that is not a voter.
     Follower,
 }
 
@@ -37,60 +38,60 @@
     Follower(Follower),
 }
 
-/// What an operator asked for, until it is agreed.
-struct Wish {
+/// An operator's order that is not agreed yet.
+struct PendingOrder {
     order: String,
     command: Vec<u8>,
     conn: u64,
-    until: Micros,
-    again: Micros,
+    deadline: Micros,
+    retry_at: Micros,
 }
 
-/// What the seat asks for.
-pub(crate) enum Ask {
-    /// Say this to a member.
-    Say(MemberId, Errand),
-    /// Store this, and tell [`Agreed::stored`].
+/// An action for the part.
+pub(crate) enum Action {
+    /// Send this message to a member.
+    Send(MemberId, PeerMessage),
+    /// Store this batch and call [`Agreement::stored`].
     Store(Batch),
     /// Answer an operator.
     Answer(u64, Value),
-    /// For the log: whether it is bad news, and what.
+    /// Log this line; the flag marks a warning.
     Log(bool, String),
 }
 
-/// A node's part in the agreement.
-pub(crate) struct Agreed {
+/// A node's state in the agreement.
+pub(crate) struct Agreement {
     names: Names,
     core: Core,
-    /// Why a voter of the settings only follows: its store can't be used.
-    broken: Option<String>,
+    /// The reason why a configured voter only follows, if its store can't be used.
+    store_error: Option<String>,
     voters: Vec<MemberId>,
     own: MemberId,
     state: State,
-    wishes: BTreeMap<u64, Wish>,
-    next: u64,
-    /// The voter that a follower proposes to.
-    asked: usize,
-    retry: Micros,
+    pending_orders: BTreeMap<u64, PendingOrder>,
+    last_token: u64,
+    /// The index of the voter that the last command was sent to.
+    last_voter: usize,
+    retry_interval: Micros,
     leader: Option<u64>,
-    /// The ledger of the configuration changed since it was looked at.
+    /// Whether the configuration's ledger changed since [`Agreement::ledger`] was called.
     ledger_changed: bool,
-    /// Marks were asked for since the last turn.
-    marks_asked: Cell<bool>,
+    /// Whether marks were requested since the last timeout.
+    marks_requested: Cell<bool>,
     on_demand: bool,
 }
 
-/// Voters' numbers are the members' and never 0.
-fn number(id: MemberId) -> u64 {
+/// Returns the voter number of a member: its identifier plus one, as voter numbers must not be 0.
+fn voter_number(id: MemberId) -> u64 {
     u64::from(id.0) + 1
 }
 
-fn member(number: u64) -> Option<MemberId> {
+fn member_of(number: u64) -> Option<MemberId> {
     Some(MemberId(u32::try_from(number.checked_sub(1)?).ok()?))
 }
 
-impl Agreed {
-    /// Takes the seat.
+impl Agreement {
+    /// Creates the state for a role.
     pub(crate) fn new(
         names: Names,
         own: MemberId,
@@ -98,89 +99,102 @@
         seat: Seat,
         tick: Micros,
         seed: u64,
-    ) -> Agreed {
+    ) -> Agreement {
         let timing = Timing { tick, ..Timing::default() };
-        let numbers: Vec<u64> = voters.iter().copied().map(number).collect();
+        let numbers: Vec<u64> = voters.iter().copied().map(voter_number).collect();
         let settings = Settings {
-            own: number(own),
+            own: voter_number(own),
             voters: numbers.clone(),
             timing,
             max_command: MAX_COMMAND,
-            snapshot_every: SNAPSHOT_EVERY,
+            snapshot_every: SNAPSHOT_INTERVAL,
         };
-        let sat = match seat {
+        let voter_or_error = match seat {
             Seat::Voter(found) => {
                 Voter::new(settings, found, seed).map_err(|error| error.to_string()).map(Some)
             }
             Seat::Broken(why) => Err(why),
             Seat::Follower => Ok(None),
         };
-        let follower = || Core::Follower(Follower::new(number(own), &numbers, timing, seed));
-        let (core, broken) = match sat {
+        let follower = || Core::Follower(Follower::new(voter_number(own), &numbers, timing, seed));
+        let (core, store_error) = match voter_or_error {
             Ok(Some(voter)) => (Core::Voter(Box::new(voter)), None),
             Ok(None) => (follower(), None),
             Err(why) => (follower(), Some(why)),
         };
-        Agreed {
+        Agreement {
             names,
             core,
-            broken,
+            store_error,
             voters,
             own,
             state: State::default(),
-            wishes: BTreeMap::new(),
-            next: 0,
-            asked: 0,
-            retry: tick.saturating_mul(20),
+            pending_orders: BTreeMap::new(),
+            last_token: 0,
+            last_voter: 0,
+            retry_interval: tick.saturating_mul(20),
             leader: None,
             ledger_changed: true,
-            marks_asked: Cell::new(false),
+            marks_requested: Cell::new(false),
             on_demand: false,
         }
     }
 
-    /// The voters, the node itself among them where it is one.
+    /// Returns the voters, including this node if it is one.
     pub(crate) fn voters(&self) -> &[MemberId] {
         &self.voters
     }
 
-    /// The members have these names from now on.
+    /// Replaces the names of the members.
     pub(crate) fn rename(&mut self, names: Names) {
         self.names = names;
     }
 
-    /// Why a voter of the settings only follows.
-    pub(crate) fn broken(&self) -> Option<&str> {
-        self.broken.as_deref()
+    /// Returns the reason why a configured voter only follows, if it does.
+    pub(crate) fn store_error(&self) -> Option<&str> {
+        self.store_error.as_deref()
     }
 
-    /// When it wants a turn at the latest.
+    /// Returns the latest time at which [`Agreement::timeout`] is due.
     pub(crate) fn wake(&self) -> Option<Micros> {
         let seat = match &self.core {
             Core::Voter(voter) => voter.wake(),
             Core::Follower(follower) => follower.wake(),
         };
-        let wishes = self.wishes.values().map(|wish| wish.again.min(wish.until));
-        wishes.chain(seat).min()
+        let pending_orders =
+            self.pending_orders.values().map(|pending| pending.retry_at.min(pending.deadline));
+        pending_orders.chain(seat).min()
     }
 
-    /// An errand of another member.
-    pub(crate) fn errand(&mut self, now: Micros, from: MemberId, errand: Errand, out: &mut Vec<Ask>) {
-        match errand {
-            Errand::Agreement(bytes) => {
-                self.input(now, Input::Heard { from: number(from), bytes: &bytes }, out);
+    /// Handles a message of another member.
+    pub(crate) fn message_received(
+        &mut self,
+        now: Micros,
+        from: MemberId,
+        message: PeerMessage,
+        out: &mut Vec<Action>,
+    ) {
+        match message {
+            PeerMessage::Agreement(bytes) => {
+                self.input(now, Input::Heard { from: voter_number(from), bytes: &bytes }, out);
             }
-            Errand::Propose(command) => {
+            PeerMessage::Propose(command) => {
                 if matches!(self.core, Core::Voter(..)) {
                     self.input(now, Input::Propose { token: 0, command }, out);
                 }
             }
-            Errand::Piece { .. } | Errand::Rules(_) | Errand::Configuration(_) => {}
+            PeerMessage::Fragment { .. } | PeerMessage::Rules(_) | PeerMessage::Configuration(_) => {}
         }
     }
 
-    /// A batch is stored, or could not be.
-    pub(crate) fn stored(&mut self, now: Micros, batch: u64, result: Result<(), String>, out: &mut Vec<Ask>) {
+    /// Handles the result of storing a batch.
+    pub(crate) fn stored(
+        &mut self,
+        now: Micros,
+        batch: u64,
+        result: Result<(), String>,
+        out: &mut Vec<Action>,
+    ) {
         let input = match result {
             Ok(()) => Input::Stored(batch),
             Err(why) => Input::StoreFailed(batch, why),
@@ -188,10 +202,10 @@
         self.input(now, input, out);
     }
 
-    /// Time has passed.
-    pub(crate) fn timeout(&mut self, now: Micros, out: &mut Vec<Ask>) {
-        if self.marks_asked.take() {
-            self.learn(now);
+    /// Handles a timeout.
+    pub(crate) fn timeout(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if self.marks_requested.take() {
+            self.follow_log(now);
         }
         let due = match &self.core {
             Core::Voter(voter) => voter.wake(),
@@ -200,166 +214,184 @@
         if due.is_some_and(|due| due <= now) {
             self.input(now, Input::Timeout, out);
         }
-        let late: Vec<u64> =
-            self.wishes.iter().filter(|(_, wish)| wish.until <= now).map(|(token, _)| *token).collect();
-        for wish in late.into_iter().filter_map(|token| self.wishes.remove(&token)) {
+        let expired: Vec<u64> = self
+            .pending_orders
+            .iter()
+            .filter(|(_, pending)| pending.deadline <= now)
+            .map(|(token, _)| *token)
+            .collect();
+        for pending in expired.into_iter().filter_map(|token| self.pending_orders.remove(&token)) {
             let error = "not agreed in time: it may be later; ask again with the same order";
-            out.push(Ask::Answer(wish.conn, json!({"ok": false, "order": wish.order, "error": error})));
+            out.push(Action::Answer(
+                pending.conn,
+                json!({"ok": false, "order": pending.order, "error": error}),
+            ));
         }
-        let again: Vec<u64> =
-            self.wishes.iter().filter(|(_, wish)| wish.again <= now).map(|(token, _)| *token).collect();
-        for token in again {
+        let to_retry: Vec<u64> = self
+            .pending_orders
+            .iter()
+            .filter(|(_, pending)| pending.retry_at <= now)
+            .map(|(token, _)| *token)
+            .collect();
+        for token in to_retry {
             self.propose(now, token, out);
         }
     }
 
-    /// An operator's mark: agreed once however often and wherever it is asked for. The answer follows when it is.
-    pub(crate) fn mark(&mut self, now: Micros, conn: u64, order: &str, text: &str, out: &mut Vec<Ask>) {
+    /// Proposes an operator's mark. Its order is agreed only once, even if it is repeated or sent to several
+    /// nodes. The answer follows when it is agreed.
+    pub(crate) fn mark(&mut self, now: Micros, conn: u64, order: &str, text: &str, out: &mut Vec<Action>) {
         let refused = if order.is_empty() || order.len() > LONGEST_ORDER || text.len() > LONGEST_TEXT {
             Some(format!(
                 "expected an order of 1 to {LONGEST_ORDER} bytes and a text of {LONGEST_TEXT} at the most"
             ))
-        } else if self.wishes.len() >= MOST_WISHES {
+        } else if self.pending_orders.len() >= MAX_PENDING_ORDERS {
             Some("too many orders wait to be agreed".to_owned())
         } else {
             None
         };
         if let Some(error) = refused {
-            return out.push(Ask::Answer(conn, json!({"ok": false, "error": error})));
+            return out.push(Action::Answer(conn, json!({"ok": false, "error": error})));
         }
-        if let Some(index) = self.state.place(order) {
-            return out.push(Ask::Answer(conn, json!({"ok": true, "order": order, "index": index})));
+        if let Some(index) = self.state.index_of(order) {
+            return out.push(Action::Answer(conn, json!({"ok": true, "order": order, "index": index})));
         }
-        self.learn(now);
+        self.follow_log(now);
         let command = Command::Mark { order: order.to_owned(), text: text.to_owned() }.to_bytes();
-        self.next += 1;
-        let wish = Wish { order: order.to_owned(), command, conn, until: now + PATIENCE, again: now };
-        self.wishes.insert(self.next, wish);
-        self.propose(now, self.next, out);
+        self.last_token += 1;
+        let pending = PendingOrder {
+            order: order.to_owned(),
+            command,
+            conn,
+            deadline: now + ORDER_TIMEOUT_US,
+            retry_at: now,
+        };
+        self.pending_orders.insert(self.last_token, pending);
+        self.propose(now, self.last_token, out);
     }
 
-    /// The operator's connection is gone: nobody waits for its answers.
+    /// Drops the pending orders of an operator whose connection was closed.
     pub(crate) fn operator_left(&mut self, conn: u64) {
-        self.wishes.retain(|_, wish| wish.conn != conn);
+        self.pending_orders.retain(|_, pending| pending.conn != conn);
     }
 
-    /// A follower of a fleet with a configuration learns only while an operator asks.
-    pub(crate) fn learn_on_demand(&mut self) {
+    /// Makes a follower pull the log only after an operator's request, as in a fleet with a configuration.
+    pub(crate) fn follow_on_demand(&mut self) {
         if let Core::Follower(follower) = &mut self.core {
             follower.learn_until(0);
         }
         self.on_demand = true;
     }
 
-    fn learn(&mut self, now: Micros) {
+    fn follow_log(&mut self, now: Micros) {
         if let (Core::Follower(follower), true) = (&mut self.core, self.on_demand) {
-            follower.learn_until(now + PATIENCE);
+            follower.learn_until(now + ORDER_TIMEOUT_US);
         }
     }
 
-    /// Proposes a command of the configuration; whoever wants it says it again while nothing comes of it.
-    pub(crate) fn command(&mut self, now: Micros, command: Vec<u8>, out: &mut Vec<Ask>) {
+    /// Proposes a command of the configuration. It may be lost; the caller has to repeat it.
+    pub(crate) fn propose_configuration(&mut self, now: Micros, command: Vec<u8>, out: &mut Vec<Action>) {
         let command = Command::Configuration(command).to_bytes();
-        self.hand_on(now, 0, command, out);
+        self.submit(now, 0, command, out);
     }
 
-    /// At a voter: the configuration's ledger if it changed, and whether this node leads.
+    /// At a voter: returns the configuration's ledger if it changed, and whether this node is the leader.
     pub(crate) fn ledger(&mut self) -> (Option<&Ledger>, bool) {
         let voter = matches!(self.core, Core::Voter(..));
         let changed = voter && std::mem::take(&mut self.ledger_changed);
-        (changed.then(|| self.state.ledger()), voter && self.leader == Some(number(self.own)))
+        (changed.then(|| self.state.ledger()), voter && self.leader == Some(voter_number(self.own)))
     }
 
-    fn propose(&mut self, now: Micros, token: u64, out: &mut Vec<Ask>) {
-        let Some(wish) = self.wishes.get_mut(&token) else { return };
-        wish.again = now + self.retry;
-        let command = wish.command.clone();
-        self.hand_on(now, token, command, out);
+    fn propose(&mut self, now: Micros, token: u64, out: &mut Vec<Action>) {
+        let Some(pending) = self.pending_orders.get_mut(&token) else { return };
+        pending.retry_at = now + self.retry_interval;
+        let command = pending.command.clone();
+        self.submit(now, token, command, out);
     }
 
-    fn hand_on(&mut self, now: Micros, token: u64, command: Vec<u8>, out: &mut Vec<Ask>) {
+    fn submit(&mut self, now: Micros, token: u64, command: Vec<u8>, out: &mut Vec<Action>) {
         if matches!(&self.core, Core::Voter(voter) if voter.is_voting() && voter.leader().is_some()) {
             return self.input(now, Input::Propose { token, command }, out);
         }
-        // Another voter each time: the one asked may be gone, or kept from voting as this one is.
+        // Another voter each time: the last one may be gone, or not allowed to vote like this one.
         let others: Vec<MemberId> = self.voters.iter().copied().filter(|voter| *voter != self.own).collect();
-        self.asked = (self.asked + 1) % others.len().max(1);
-        out.extend(others.get(self.asked).map(|to| Ask::Say(*to, Errand::Propose(command))));
+        self.last_voter = (self.last_voter + 1) % others.len().max(1);
+        out.extend(others.get(self.last_voter).map(|to| Action::Send(*to, PeerMessage::Propose(command))));
     }
 
-    fn input(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Ask>) {
+    fn input(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Action>) {
         let mut outputs = Vec::new();
         match &mut self.core {
             Core::Voter(voter) => voter.handle(now, input, &mut outputs),
             Core::Follower(follower) => follower.handle(now, input, &mut outputs),
         }
-        // What follows from an output comes after all that came with it.
-        let mut further = Vec::new();
+        // Inputs that result from an output are handled after all outputs of the same step.
+        let mut follow_ups = Vec::new();
         for output in outputs {
-            further.extend(self.output(output, out));
+            follow_ups.extend(self.output(output, out));
         }
-        for input in further {
+        for input in follow_ups {
             self.input(now, input, out);
         }
     }
 
-    fn output(&mut self, output: Output, out: &mut Vec<Ask>) -> Option<Input<'static>> {
+    fn output(&mut self, output: Output, out: &mut Vec<Action>) -> Option<Input<'static>> {
         match output {
             Output::Tell { to, bytes } => {
-                out.extend(member(to).map(|to| Ask::Say(to, Errand::Agreement(bytes))));
+                out.extend(member_of(to).map(|to| Action::Send(to, PeerMessage::Agreement(bytes))));
             }
-            Output::Store(batch) => out.push(Ask::Store(batch)),
+            Output::Store(batch) => out.push(Action::Store(batch)),
             Output::Decided { index, command } => {
                 let before = self.state.ledger().verdicts();
                 self.state.apply(index, &command);
                 let ledger = self.state.ledger();
                 self.ledger_changed |= ledger.announcement().step == index || ledger.verdicts() != before;
-                self.fulfil(out);
+                self.answer_agreed(out);
             }
             Output::Restore { index, bytes } => {
                 self.ledger_changed = true;
                 if !self.state.restore(&bytes) {
-                    out.push(Ask::Log(true, format!("the agreed state up to {index} can't be read")));
+                    out.push(Action::Log(true, format!("the agreed state up to {index} can't be read")));
                 }
-                self.fulfil(out);
+                self.answer_agreed(out);
             }
             Output::TakeSnapshot { index } => {
                 return Some(Input::Snapshot { index, bytes: self.state.snapshot() });
             }
             Output::Leader(leader) => {
                 self.leader = leader;
-                let text = match leader.and_then(member) {
+                let text = match leader.and_then(member_of) {
                     Some(leader) => format!("the agreement is led by {}", name(&self.names, leader)),
                     None => "the agreement has no leader: nothing is agreed".to_owned(),
                 };
-                out.push(Ask::Log(leader.is_none(), text));
+                out.push(Action::Log(leader.is_none(), text));
             }
-            // Proposed again in time.
+            // The pending order is proposed again after the retry interval.
             Output::Lost { .. } => {}
-            Output::Notice(notice) => out.push(told(&self.names, &notice)),
+            Output::Notice(notice) => out.push(describe(&self.names, &notice)),
         }
         None
     }
 
-    /// Answers operators whose orders are agreed.
-    fn fulfil(&mut self, out: &mut Vec<Ask>) {
+    /// Answers the operators whose orders are agreed.
+    fn answer_agreed(&mut self, out: &mut Vec<Action>) {
         let state = &self.state;
-        self.wishes.retain(|_, wish| match state.place(&wish.order) {
+        self.pending_orders.retain(|_, pending| match state.index_of(&pending.order) {
             Some(index) => {
-                let answer = json!({"ok": true, "order": wish.order, "index": index});
-                out.push(Ask::Answer(wish.conn, answer));
+                let answer = json!({"ok": true, "order": pending.order, "index": index});
+                out.push(Action::Answer(pending.conn, answer));
                 false
             }
             None => true,
         });
     }
 
-    /// What an operator is told of the agreement.
+    /// Returns the state of the agreement for an operator.
     pub(crate) fn status(&self) -> Value {
-        let leader = self.leader.and_then(member).map(|leader| name(&self.names, leader));
+        let leader = self.leader.and_then(member_of).map(|leader| name(&self.names, leader));
         let mut status = json!({
-            "ok": true, "leader": leader, "index": self.state.index(), "unread": self.state.unread(),
-            "waiting": self.wishes.len(), "trouble": self.broken,
+            "ok": true, "leader": leader, "index": self.state.index(), "unread": self.state.undecodable(),
+            "waiting": self.pending_orders.len(), "trouble": self.store_error,
         });
         match &self.core {
             Core::Voter(voter) => {
@@ -374,9 +406,9 @@
         status
     }
 
-    /// The marks after an entry.
+    /// Returns the marks after a log index.
     pub(crate) fn marks(&self, after: u64) -> Value {
-        self.marks_asked.set(true);
+        self.marks_requested.set(true);
         let marks = self.state.marks(after);
         let marks: Vec<Value> =
             marks.map(|mark| json!({"index": mark.index, "order": mark.order, "text": mark.text})).collect();
@@ -384,28 +416,28 @@
     }
 }
 
-fn told(names: &Names, notice: &Notice) -> Ask {
+fn describe(names: &Names, notice: &Notice) -> Action {
     match notice {
         Notice::StoreFailed { why, again } => {
             let seconds = *again as f64 / 1e6;
-            Ask::Log(
+            Action::Log(
                 true,
                 format!(
                     "the agreement's store fails: {why}; no voting until it works, next try in {seconds} s"
                 ),
             )
         }
-        Notice::StoreWorks => Ask::Log(false, "the agreement's store works again".to_owned()),
-        Notice::Admitted => Ask::Log(false, "admitted as a voter by all others".to_owned()),
+        Notice::StoreWorks => Action::Log(false, "the agreement's store works again".to_owned()),
+        Notice::Admitted => Action::Log(false, "admitted as a voter by all others".to_owned()),
         Notice::StoreLost { by } => {
-            let by = member(*by).map_or_else(|| by.to_string(), |by| name(names, by));
-            Ask::Log(
+            let by = member_of(*by).map_or_else(|| by.to_string(), |by| name(names, by));
+            Action::Log(
                 true,
                 format!("voter {by} knew this one under another store: this one only learns from now on"),
             )
         }
         Notice::SnapshotTooLong { bytes } => {
-            Ask::Log(true, format!("the agreed state takes {bytes} bytes: the log can't be cut"))
+            Action::Log(true, format!("the agreed state takes {bytes} bytes: the log can't be compacted"))
         }
     }
 }
--- a/crates/lemoncleat-commons/src/state.rs
+++ b/crates/lemoncleat-commons/src/state.rs
@@ -1,13 +1,14 @@
-//! What the fleet agrees on: the state that the commands of the agreed log make, the same at every node.
+//! The replicated state of the fleet: applying the commands of the agreed log gives the same state at every
+//! node.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use lemoncleat_configuration::Ledger;
 use serde::{Deserialize, Serialize};
 
-/// Marks that are kept; older ones are forgotten everywhere at the same entry.
-const MOST_MARKS: usize = 1_000;
-/// Longest order and text of a mark, in bytes.
+/// Maximum number of stored marks. Every node drops the oldest one at the same log entry.
+const MAX_MARKS: usize = 1_000;
+/// Maximum lengths of an order's identifier and of a mark's text, in bytes.
 pub(crate) const LONGEST_ORDER: usize = 64;
 pub(crate) const LONGEST_TEXT: usize = 256;
 
@@ -34,22 +35,23 @@
     pub(crate) text: String,
 }
 
-/// The state. Every node that has applied the same entries holds the same.
+/// The replicated state. Nodes that have applied the same entries hold the same state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct State {
     index: u64,
     marks: VecDeque<Mark>,
     orders: BTreeMap<String, u64>,
-    /// Commands that could not be read: of a later version of the program.
-    unread: u64,
-    /// Of the configuration; after the rest in a snapshot, so that one without it stays as it was.
+    /// The number of commands that could not be decoded, as they come from a later version of the program.
+    undecodable: u64,
+    /// The state of the configuration. In a snapshot it follows the rest and is left out if empty, so that
+    /// the format of snapshots without a configuration is unchanged.
     #[serde(skip)]
     ledger: Ledger,
 }
 
 impl State {
-    /// Applies an entry; one that was applied before changes nothing. A command may be decided more than once: an
-    /// order that stands is not marked again.
+    /// Applies an entry. An entry that was applied before is ignored. A command may be committed more than
+    /// once: a stored order is not marked again.
     pub(crate) fn apply(&mut self, index: u64, command: &[u8]) {
         if index <= self.index {
             return;
@@ -63,7 +65,7 @@
                 }
                 self.orders.insert(order.clone(), index);
                 self.marks.push_back(Mark { index, order, text });
-                if self.marks.len() > MOST_MARKS {
+                if self.marks.len() > MAX_MARKS {
                     if let Some(oldest) = self.marks.pop_front() {
                         self.orders.remove(&oldest.order);
                     }
@@ -71,34 +73,34 @@
             }
             Ok(Command::Configuration(command)) => {
                 if !self.ledger.apply(index, &command) {
-                    self.unread += 1;
+                    self.undecodable += 1;
                 }
             }
-            Err(_) => self.unread += 1,
+            Err(_) => self.undecodable += 1,
         }
     }
 
-    /// Where an order stands in the log; none if it is not agreed, or forgotten.
-    pub(crate) fn place(&self, order: &str) -> Option<u64> {
+    /// Returns the log index of an order; none if it is not agreed or no longer stored.
+    pub(crate) fn index_of(&self, order: &str) -> Option<u64> {
         self.orders.get(order).copied()
     }
 
-    /// What is agreed of the configuration.
+    /// Returns the ledger of the configuration.
     pub(crate) fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The last entry applied.
+    /// Returns the index of the last applied entry.
     pub(crate) fn index(&self) -> u64 {
         self.index
     }
 
-    /// Commands that could not be read.
-    pub(crate) fn unread(&self) -> u64 {
-        self.unread
+    /// Returns the number of commands that could not be decoded.
+    pub(crate) fn undecodable(&self) -> u64 {
+        self.undecodable
     }
 
-    /// The marks after an entry, in order.
+    /// Returns the marks after a log index, in order.
     pub(crate) fn marks(&self, after: u64) -> impl Iterator<Item = &Mark> {
         self.marks.iter().filter(move |mark| mark.index > after)
     }
@@ -111,14 +113,14 @@
         bytes
     }
 
-    /// Takes a snapshot in place of what it holds; false and unchanged if it can't be read.
+    /// Replaces the state by a snapshot. Returns false and changes nothing if it can't be decoded.
     pub(crate) fn restore(&mut self, bytes: &[u8]) -> bool {
-        let Ok((mut whole, rest)) = postcard::take_from_bytes::<State>(bytes) else { return false };
+        let Ok((mut state, rest)) = postcard::take_from_bytes::<State>(bytes) else { return false };
         if !rest.is_empty() {
             let Ok(ledger) = postcard::from_bytes(rest) else { return false };
-            whole.ledger = ledger;
+            state.ledger = ledger;
         }
-        *self = whole;
+        *self = state;
         true
     }
 }
@@ -132,25 +134,25 @@
     }
 
     #[test]
-    fn an_order_is_marked_once_however_often_it_is_decided() {
+    fn order_is_marked_once_when_it_is_committed_repeatedly() {
         let mut state = State::default();
         state.apply(3, &mark("a"));
         state.apply(4, &mark("a"));
         state.apply(4, &mark("b"));
         state.apply(5, &[255, 255]);
         state.apply(6, &mark("b"));
-        assert_eq!((state.place("a"), state.place("b"), state.unread()), (Some(3), Some(6), 1));
+        assert_eq!((state.index_of("a"), state.index_of("b"), state.undecodable()), (Some(3), Some(6), 1));
         assert_eq!(state.marks(3).map(|mark| mark.index).collect::<Vec<_>>(), [6]);
     }
 
     #[test]
-    fn a_snapshot_carries_on_where_the_log_was_cut_and_its_size_is_bounded() {
+    fn state_restored_from_a_bounded_snapshot_continues_with_the_log() {
         let mut state = State::default();
-        for index in 1..=MOST_MARKS as u64 + 5 {
+        for index in 1..=MAX_MARKS as u64 + 5 {
             state.apply(index, &mark(&format!("{index:064}")));
         }
         let snapshot = state.snapshot();
-        assert!(snapshot.len() < 512 * 1024 && state.place(&format!("{:064}", 5)).is_none());
+        assert!(snapshot.len() < 512 * 1024 && state.index_of(&format!("{:064}", 5)).is_none());
         let mut other = State::default();
         assert!(other.restore(&snapshot) && !other.restore(&[1]));
         let packed = lemoncleat_configuration::pack("(classes)").expect("a text");
--- a/crates/lemoncleat-commons/tests/configuration.rs
+++ b/crates/lemoncleat-commons/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Parts with a real log under a virtual clock: one configuration for all, agreed, spread, taken back, kept.
+//! Runs parts with a real log on a virtual clock: a configuration is agreed, distributed, rolled back and
+//! saved.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,11 +16,11 @@
 const COUNT: usize = 9;
 
 enum Event {
-    Word(usize, Vec<u8>),
+    Message(usize, Vec<u8>),
     Linked(usize, bool),
     Stored(u64),
-    Configured(u64, String),
-    Kept(Vec<u8>),
+    Applied(u64, String),
+    Persisted(Vec<u8>),
 }
 
 struct Net {
@@ -27,18 +28,18 @@
     configuration: bool,
     rng: SmallRng,
     now: Micros,
-    coming: BTreeMap<(Micros, u64), (usize, Event)>,
-    made: u64,
-    last: BTreeMap<(usize, usize), Micros>,
+    in_flight: BTreeMap<(Micros, u64), (usize, Event)>,
+    sequence: u64,
+    last_arrival: BTreeMap<(usize, usize), Micros>,
     links: BTreeSet<(usize, usize)>,
     in_force: Vec<(u64, String)>,
-    kept: Vec<Option<Vec<u8>>>,
-    settled: Vec<Option<Micros>>,
+    saved: Vec<Option<Vec<u8>>>,
+    ready_at: Vec<Option<Micros>>,
     answers: Vec<(u64, Value)>,
     log: Vec<(usize, String)>,
-    /// Nodes that can't use a text with "new" in it.
-    old: BTreeSet<usize>,
-    words: u64,
+    /// Nodes that refuse a text that contains "new".
+    rejects_new: BTreeSet<usize>,
+    messages: u64,
     bytes: u64,
 }
 
@@ -49,17 +50,17 @@
             configuration,
             rng: SmallRng::seed_from_u64(seed),
             now: SECOND,
-            coming: BTreeMap::new(),
-            made: 0,
-            last: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            sequence: 0,
+            last_arrival: BTreeMap::new(),
             links: BTreeSet::new(),
             in_force: vec![(0, String::new()); COUNT],
-            kept: vec![None; COUNT],
-            settled: vec![None; COUNT],
+            saved: vec![None; COUNT],
+            ready_at: vec![None; COUNT],
             answers: Vec::new(),
             log: Vec::new(),
-            old: BTreeSet::new(),
-            words: 0,
+            rejects_new: BTreeSet::new(),
+            messages: 0,
             bytes: 0,
         };
         (0..COUNT).for_each(|at| net.start(at, 1));
@@ -79,56 +80,60 @@
         let seat = if at < 3 { Seat::Voter(Found::new(at as u64 + 1)) } else { Seat::Follower };
         let part = Part::new(&settings, seat, start, at as u64).expect("good settings");
         self.parts[at] = Some(part);
-        (self.in_force[at], self.settled[at]) = ((0, String::new()), None);
-        let kept = self.kept[at].clone();
-        self.turn(at, |part, now, said| part.found(now, Ok(kept), said));
+        (self.in_force[at], self.ready_at[at]) = ((0, String::new()), None);
+        let saved = self.saved[at].clone();
+        self.with_part(at, |part, now, actions| part.found(now, Ok(saved), actions));
     }
 
-    /// The process ends, and with it its connections.
+    /// Ends a process and its connections.
     fn kill(&mut self, at: usize) {
         self.parts[at] = None;
         for other in 0..COUNT {
             if self.links.remove(&(at.min(other), at.max(other))) {
-                self.later(other, at, Event::Linked(at, false));
+                self.schedule(other, at, Event::Linked(at, false));
             }
         }
-        self.coming.retain(|_, (to, _)| *to != at);
+        self.in_flight.retain(|_, (to, _)| *to != at);
     }
 
-    fn later(&mut self, to: usize, from: usize, event: Event) {
+    fn schedule(&mut self, to: usize, from: usize, event: Event) {
         let at = self.now + self.rng.random_range(MS..20 * MS);
-        let last = self.last.entry((to, from)).or_insert(0);
-        *last = at.max(*last);
-        self.made += 1;
-        self.coming.insert((*last, self.made), (to, event));
+        let last_arrival = self.last_arrival.entry((to, from)).or_insert(0);
+        *last_arrival = at.max(*last_arrival);
+        self.sequence += 1;
+        self.in_flight.insert((*last_arrival, self.sequence), (to, event));
     }
 
-    fn turn<T>(&mut self, at: usize, turn: impl FnOnce(&mut Part, Micros, &mut Vec<Said>) -> T) -> Option<T> {
-        let mut said = Vec::new();
-        let told = turn(self.parts[at].as_mut()?, self.now, &mut said);
-        for said in said {
-            match said {
+    fn with_part<T>(
+        &mut self,
+        at: usize,
+        call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>) -> T,
+    ) -> Option<T> {
+        let mut actions = Vec::new();
+        let result = call(self.parts[at].as_mut()?, self.now, &mut actions);
+        for action in actions {
+            match action {
                 Said::Meet(other) => {
                     if self.parts[other].is_some() && self.links.insert((at.min(other), at.max(other))) {
-                        self.later(at, other, Event::Linked(other, true));
-                        self.later(other, at, Event::Linked(at, true));
+                        self.schedule(at, other, Event::Linked(other, true));
+                        self.schedule(other, at, Event::Linked(at, true));
                     }
                 }
-                Said::Word(other, word) if self.links.contains(&(at.min(other), at.max(other))) => {
-                    self.words += 1;
-                    self.bytes += word.len() as u64;
-                    self.later(other, at, Event::Word(at, word));
+                Said::Word(other, message) if self.links.contains(&(at.min(other), at.max(other))) => {
+                    self.messages += 1;
+                    self.bytes += message.len() as u64;
+                    self.schedule(other, at, Event::Message(at, message));
                 }
-                Said::Store(batch) => self.later(at, at, Event::Stored(batch.number)),
-                Said::Configure { number, text } => self.later(at, at, Event::Configured(number, text)),
-                Said::Keep(bytes) => self.later(at, at, Event::Kept(bytes)),
-                Said::Settled => self.settled[at] = Some(self.now),
+                Said::Store(batch) => self.schedule(at, at, Event::Stored(batch.number)),
+                Said::Configure { number, text } => self.schedule(at, at, Event::Applied(number, text)),
+                Said::Keep(bytes) => self.schedule(at, at, Event::Persisted(bytes)),
+                Said::Settled => self.ready_at[at] = Some(self.now),
                 Said::Answer(conn, answer) => self.answers.push((conn, answer)),
                 Said::Log(_, text) => self.log.push((at, text)),
                 Said::Part(_) | Said::Word(..) | Said::Fence(_) => {}
             }
         }
-        Some(told)
+        Some(result)
     }
 
     fn run(&mut self, span: Micros) {
@@ -137,18 +142,18 @@
             let wakes = self.parts.iter().enumerate();
             let wakes = wakes.filter_map(|(at, part)| Some((part.as_ref()?.wake()?.max(self.now), at)));
             let wake = wakes.min();
-            let next = self.coming.keys().next().copied();
+            let next = self.in_flight.keys().next().copied();
             match (wake, next) {
                 (wake, Some(key)) if key.0 <= until && wake.is_none_or(|(at, _)| key.0 <= at) => {
                     self.now = key.0;
-                    if let Some((to, event)) = self.coming.remove(&key) {
+                    if let Some((to, event)) = self.in_flight.remove(&key) {
                         self.event(to, event);
                     }
                 }
                 (Some((at, node)), _) if at <= until => {
-                    // A wake that stays where it is must not hold the clock.
+                    // The clock advances even if a part does not change its wake time.
                     self.now = at;
-                    self.turn(node, |part, now, said| part.timeout(now, Figures::default(), said));
+                    self.with_part(node, |part, now, actions| part.timeout(now, Figures::default(), actions));
                     self.now += 1;
                 }
                 _ => break,
@@ -159,91 +164,92 @@
 
     fn event(&mut self, at: usize, event: Event) {
         match event {
-            Event::Word(from, word) => {
-                self.turn(at, |part, now, said| part.heard(now, from, &word, said));
+            Event::Message(from, message) => {
+                self.with_part(at, |part, now, actions| part.heard(now, from, &message, actions));
             }
             Event::Linked(other, linked) => {
-                self.turn(at, |part, now, said| part.linked(now, other, linked, said));
+                self.with_part(at, |part, now, actions| part.linked(now, other, linked, actions));
             }
             Event::Stored(batch) => {
-                self.turn(at, |part, now, said| part.stored(now, batch, Ok(()), said));
+                self.with_part(at, |part, now, actions| part.stored(now, batch, Ok(()), actions));
             }
-            Event::Configured(number, text) => {
-                let result = if self.old.contains(&at) && text.contains("new") {
+            Event::Applied(number, text) => {
+                let result = if self.rejects_new.contains(&at) && text.contains("new") {
                     Err("a field that is unknown here".to_owned())
                 } else {
                     self.in_force[at] = (number, text);
                     Ok(())
                 };
-                self.turn(at, |part, now, said| part.configured(now, number, result, said));
+                self.with_part(at, |part, now, actions| part.configured(now, number, result, actions));
             }
-            Event::Kept(bytes) => {
-                self.kept[at] = Some(bytes);
-                self.turn(at, |part, now, said| part.kept(now, Ok(()), said));
+            Event::Persisted(bytes) => {
+                self.saved[at] = Some(bytes);
+                self.with_part(at, |part, now, actions| part.kept(now, Ok(()), actions));
             }
         }
     }
 
     fn change(&mut self, at: usize, conn: u64, parent: u64, text: &str) -> Value {
         let order = format!("order {conn}");
-        let taken = self.turn(at, |part, now, said| part.configure(now, conn, &order, parent, text, said));
-        assert_eq!(taken, Some(true));
+        let accepted =
+            self.with_part(at, |part, now, actions| part.configure(now, conn, &order, parent, text, actions));
+        assert_eq!(accepted, Some(true));
         self.run(10 * SECOND);
         let (_, answer) = self.answers.iter().find(|(of, _)| *of == conn).expect("an answer within 10 s");
         answer.clone()
     }
 
-    fn at(&self, number: u64) -> usize {
+    fn count_in_force(&self, number: u64) -> usize {
         self.in_force.iter().filter(|(held, _)| *held == number).count()
     }
 }
 
-/// About 20 KiB packed: a command and words in pieces.
-fn long(name: &str) -> String {
+/// Returns a text of about 20 KiB packed, so that the command and its messages are fragmented.
+fn long_text(name: &str) -> String {
     let mut rng = SmallRng::seed_from_u64(7);
     let servers = (0..3_000).map(|_| format!("(server \"{:08x}\")\n", rng.random::<u32>()));
     format!("(classes {name})\n{}", servers.collect::<String>())
 }
 
 #[test]
-fn a_change_at_any_node_is_in_force_at_all_and_kept() {
+fn change_at_any_node_is_applied_and_saved_at_all() {
     let mut net = Net::new(1, true);
     net.run(5 * SECOND);
-    assert!(net.settled.iter().all(Option::is_some));
-    let answer = net.change(7, 1, 0, &long("one"));
+    assert!(net.ready_at.iter().all(Option::is_some));
+    let answer = net.change(7, 1, 0, &long_text("one"));
     assert_eq!((answer["ok"].as_bool(), answer["number"].as_u64()), (Some(true), Some(1)), "{answer}");
-    assert_eq!(net.at(1), COUNT);
-    // At a voter, with calls told.
-    net.turn(4, |part, _, _| part.calls(Calls { calls: 9, refused: 0, lost: 0 }));
+    assert_eq!(net.count_in_force(1), COUNT);
+    // At a voter, with call counters set.
+    net.with_part(4, |part, _, _| part.calls(Calls { calls: 9, refused: 0, lost: 0 }));
     assert_eq!(net.change(0, 2, 1, "(classes two)")["number"], 2);
-    assert_eq!((net.at(2), net.kept.iter().flatten().count()), (COUNT, COUNT));
+    assert_eq!((net.count_in_force(2), net.saved.iter().flatten().count()), (COUNT, COUNT));
     let refused = net.change(5, 3, 1, "(classes three)");
     assert_eq!(refused["error"], "made on version 1, but 2 is in force");
-    let status = net.turn(8, |part, now, _| part.configuration(now)).flatten().expect("a configuration");
+    let status = net.with_part(8, |part, now, _| part.configuration(now)).flatten().expect("a configuration");
     assert_eq!((status["in_force"].as_u64(), status["phase"].as_str()), (Some(2), Some("all")), "{status}");
     assert_eq!((status["source"].as_str(), status["refused"].is_null()), (Some("agreed"), true), "{status}");
 }
 
 #[test]
-fn a_text_that_some_can_not_use_is_taken_back_and_told() {
+fn version_that_canaries_refuse_is_rolled_back_and_logged() {
     let mut net = Net::new(2, true);
     net.run(5 * SECOND);
     net.change(7, 1, 0, "(classes one)");
-    net.old = (0..COUNT).collect();
+    net.rejects_new = (0..COUNT).collect();
     assert_eq!(net.change(6, 2, 1, "(classes new)")["number"], 2);
-    assert_eq!(net.at(1), COUNT);
+    assert_eq!(net.count_in_force(1), COUNT);
     assert!(net.log.iter().any(|(_, text)| text.contains("can't be used: a field that is unknown here")));
     assert_eq!(net.change(6, 3, 1, "(classes three)")["number"], 3);
-    assert_eq!(net.at(3), COUNT);
+    assert_eq!(net.count_in_force(3), COUNT);
 }
 
 #[test]
-fn who_has_what_is_answered_within_three_seconds() {
+fn query_of_versions_in_force_is_answered_within_three_seconds() {
     let mut net = Net::new(3, true);
     net.run(5 * SECOND);
     net.change(7, 1, 0, "(classes one)");
     net.kill(5);
-    assert_eq!(net.turn(4, |part, now, said| part.configurations(now, 9, said)), Some(true));
+    assert_eq!(net.with_part(4, |part, now, actions| part.configurations(now, 9, actions)), Some(true));
     net.run(3 * SECOND);
     let (_, answer) = net.answers.iter().find(|(conn, _)| *conn == 9).expect("an answer");
     assert_eq!((answer["newest"].as_u64(), answer["answered"].as_u64()), (Some(1), Some(8)), "{answer}");
@@ -251,46 +257,49 @@
 }
 
 #[test]
-fn a_node_that_starts_anew_has_the_newest_with_and_without_its_copy() {
+fn restarted_node_applies_newest_version_with_and_without_saved_copy() {
     let mut net = Net::new(4, true);
     net.run(5 * SECOND);
-    net.change(7, 1, 0, &long("one"));
+    net.change(7, 1, 0, &long_text("one"));
     for (start, copy) in [(2, true), (3, false)] {
         net.kill(8);
         if !copy {
-            net.kept[8] = None;
+            net.saved[8] = None;
         }
         net.run(20 * SECOND);
         net.start(8, start);
         net.run(3 * SECOND);
-        assert!(net.settled[8].is_some());
+        assert!(net.ready_at[8].is_some());
         assert_eq!(net.in_force[8].0, 1, "with its copy: {copy}");
     }
 }
 
 #[test]
-fn a_follower_pulls_only_while_an_operator_asks() {
+fn follower_pulls_the_log_only_after_an_operator_request() {
     let mut net = Net::new(5, true);
     net.run(5 * SECOND);
-    let marked = net.turn(6, |part, now, said| part.mark(now, 1, "m", "a mark", said));
+    let marked = net.with_part(6, |part, now, actions| part.mark(now, 1, "m", "a mark", actions));
     assert_eq!(marked, Some(true));
     net.run(10 * SECOND);
     assert!(net.answers.iter().any(|(conn, answer)| *conn == 1 && answer["ok"] == true), "{:?}", net.answers);
     let marks = |net: &mut Net| {
-        let marks = net.turn(7, |part, _, _| part.marks(0)).flatten().expect("marks");
+        let marks = net.with_part(7, |part, _, _| part.marks(0)).flatten().expect("marks");
         marks["marks"].as_array().map_or(0, Vec::len)
     };
-    assert_eq!(marks(&mut net), 0, "it never asked");
+    assert_eq!(marks(&mut net), 0, "the follower has not requested the log yet");
     net.run(5 * SECOND);
     assert_eq!(marks(&mut net), 1);
 }
 
 #[test]
-fn without_a_configuration_nothing_of_it_is_said() {
+fn part_without_configuration_emits_no_configuration_actions() {
     let mut net = Net::new(6, false);
     net.run(10 * SECOND);
-    assert_eq!(net.turn(4, |part, now, said| part.configure(now, 1, "o", 0, "t", said)), Some(false));
-    assert_eq!(net.turn(4, |part, now, said| part.configurations(now, 1, said)), Some(false));
-    assert_eq!(net.turn(4, |part, now, _| part.configuration(now)), Some(None));
-    assert!(net.settled.iter().all(Option::is_none) && net.answers.is_empty());
+    assert_eq!(
+        net.with_part(4, |part, now, actions| part.configure(now, 1, "o", 0, "t", actions)),
+        Some(false)
+    );
+    assert_eq!(net.with_part(4, |part, now, actions| part.configurations(now, 1, actions)), Some(false));
+    assert_eq!(net.with_part(4, |part, now, _| part.configuration(now)), Some(None));
+    assert!(net.ready_at.iter().all(Option::is_none) && net.answers.is_empty());
 }
--- a/crates/lemoncleat-commons/tests/members.rs
+++ b/crates/lemoncleat-commons/tests/members.rs
@@ -1,4 +1,4 @@
-//! Parts whose members change while they run, on a small network under a virtual clock.
+//! Runs parts in a small network on a virtual clock while their member lists change.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -26,10 +26,10 @@
     Part::new(&settings, Seat::Follower, 1, seed).expect("good settings")
 }
 
-/// To whom, from whom, and a word or whether linked.
-type Coming = (usize, usize, Result<Vec<u8>, bool>);
+/// A delivery: receiver, sender, and a message or whether the connection was established.
+type Delivery = (usize, usize, Result<Vec<u8>, bool>);
 
-/// A node: its part, and whom its core has at which place, as `lemoncleat-node` has it.
+/// A node: its part, and the members by place as in the node's core in `lemoncleat-node`.
 struct Host {
     part: Part,
     places: Vec<Option<usize>>,
@@ -39,10 +39,10 @@
     nodes: BTreeMap<usize, Host>,
     rng: SmallRng,
     now: Micros,
-    coming: BTreeMap<(Micros, u64), Coming>,
-    made: u64,
+    in_flight: BTreeMap<(Micros, u64), Delivery>,
+    sequence: u64,
     links: BTreeSet<(usize, usize)>,
-    last: BTreeMap<(usize, usize), Micros>,
+    last_arrival: BTreeMap<(usize, usize), Micros>,
     log: Vec<(usize, bool, String)>,
 }
 
@@ -52,10 +52,10 @@
             nodes: BTreeMap::new(),
             rng: SmallRng::seed_from_u64(3),
             now: SECOND,
-            coming: BTreeMap::new(),
-            made: 0,
+            in_flight: BTreeMap::new(),
+            sequence: 0,
             links: BTreeSet::new(),
-            last: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
             log: Vec::new(),
         };
         of.iter().for_each(|at| net.start(*at, of));
@@ -67,18 +67,18 @@
         self.nodes.insert(at, Host { part, places: of.iter().copied().map(Some).collect() });
     }
 
-    fn later(&mut self, to: usize, from: usize, what: Result<Vec<u8>, bool>) {
+    fn schedule(&mut self, to: usize, from: usize, what: Result<Vec<u8>, bool>) {
         let at = self.now + self.rng.random_range(MS..40 * MS);
-        let last = self.last.entry((to, from)).or_insert(0);
-        *last = at.max(*last);
-        self.made += 1;
-        self.coming.insert((*last, self.made), (to, from, what));
+        let last_arrival = self.last_arrival.entry((to, from)).or_insert(0);
+        *last_arrival = at.max(*last_arrival);
+        self.sequence += 1;
+        self.in_flight.insert((*last_arrival, self.sequence), (to, from, what));
     }
 
     fn unlink(&mut self, one: usize, other: usize) {
         if self.links.remove(&(one.min(other), one.max(other))) {
-            self.later(one, other, Err(false));
-            self.later(other, one, Err(false));
+            self.schedule(one, other, Err(false));
+            self.schedule(other, one, Err(false));
         }
     }
 
@@ -88,28 +88,28 @@
         others.into_iter().for_each(|other| self.unlink(at, other));
     }
 
-    fn turn(&mut self, at: usize, turn: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
-        let mut said = Vec::new();
+    fn with_part(&mut self, at: usize, call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
+        let mut actions = Vec::new();
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        turn(&mut node.part, self.now, &mut said);
+        call(&mut node.part, self.now, &mut actions);
         let places = node.places.clone();
-        let whose = |place: usize| places.get(place).copied().flatten();
-        for said in said {
-            match said {
+        let member_at = |place: usize| places.get(place).copied().flatten();
+        for action in actions {
+            match action {
                 Said::Meet(place) => {
-                    let Some(other) = whose(place) else { continue };
-                    let knows = |node: &Host| node.places.contains(&Some(at));
-                    if self.nodes.get(&other).is_some_and(knows)
+                    let Some(other) = member_at(place) else { continue };
+                    let has_member = |node: &Host| node.places.contains(&Some(at));
+                    if self.nodes.get(&other).is_some_and(has_member)
                         && self.links.insert((at.min(other), at.max(other)))
                     {
-                        self.later(at, other, Err(true));
-                        self.later(other, at, Err(true));
+                        self.schedule(at, other, Err(true));
+                        self.schedule(other, at, Err(true));
                     }
                 }
-                Said::Word(place, word) => {
+                Said::Word(place, message) => {
                     let linked = |other: &usize| self.links.contains(&(at.min(*other), at.max(*other)));
-                    if let Some(other) = whose(place).filter(linked) {
-                        self.later(other, at, Ok(word));
+                    if let Some(other) = member_at(place).filter(linked) {
+                        self.schedule(other, at, Ok(message));
                     }
                 }
                 Said::Log(bad, text) => self.log.push((at, bad, text)),
@@ -119,50 +119,51 @@
         }
     }
 
-    /// A node puts a list in force, in its part and then in its core.
+    /// Changes the member list of a node, first in its part and then in its core.
     fn change(&mut self, at: usize, of: &[usize]) {
-        self.turn(at, |part, now, said| part.set_members(now, members(of), said));
+        self.with_part(at, |part, now, actions| part.set_members(now, members(of), actions));
         let Some(node) = self.nodes.get_mut(&at) else { return };
-        let went: Vec<usize> = node.places.iter().flatten().copied().filter(|it| !of.contains(it)).collect();
+        let removed: Vec<usize> =
+            node.places.iter().flatten().copied().filter(|it| !of.contains(it)).collect();
         node.places.iter_mut().for_each(|place| *place = place.filter(|it| of.contains(it)));
-        let fresh: Vec<usize> = of.iter().copied().filter(|it| !node.places.contains(&Some(*it))).collect();
-        node.places.extend(fresh.into_iter().map(Some));
-        went.into_iter().for_each(|other| self.unlink(at, other));
+        let added: Vec<usize> = of.iter().copied().filter(|it| !node.places.contains(&Some(*it))).collect();
+        node.places.extend(added.into_iter().map(Some));
+        removed.into_iter().for_each(|other| self.unlink(at, other));
     }
 
     fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += MS;
-            while let Some(first) = self.coming.first_entry().filter(|first| first.key().0 <= self.now) {
+            while let Some(first) = self.in_flight.first_entry().filter(|first| first.key().0 <= self.now) {
                 let (to, from, what) = first.remove();
                 let places = self.nodes.get(&to).map(|node| node.places.clone()).unwrap_or_default();
                 let Some(place) = places.iter().position(|it| *it == Some(from)) else { continue };
-                self.turn(to, |part, now, said| match what {
-                    Ok(word) => part.heard(now, place, &word, said),
-                    Err(linked) => part.linked(now, place, linked, said),
+                self.with_part(to, |part, now, actions| match what {
+                    Ok(message) => part.heard(now, place, &message, actions),
+                    Err(linked) => part.linked(now, place, linked, actions),
                 });
             }
             for at in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let wake = self.nodes.get(&at).and_then(|node| node.part.wake());
                 if wake.is_none_or(|wake| wake <= self.now) {
                     let figures = Figures { standing: at as u64, ..Figures::default() };
-                    self.turn(at, |part, now, said| part.timeout(now, figures, said));
+                    self.with_part(at, |part, now, actions| part.timeout(now, figures, actions));
                 }
             }
         }
     }
 
-    /// Whom a node has for alive, with the figures that it has of them.
+    /// Returns the number of members that a node has, and those alive with their figures.
     fn alive(&self, at: usize) -> (usize, BTreeMap<String, Option<u64>>) {
-        let told = self.nodes[&at].part.members(self.now);
-        let alive = told["members"].as_array().expect("members").iter().filter(|it| it["state"] == "alive");
+        let status = self.nodes[&at].part.members(self.now);
+        let alive = status["members"].as_array().expect("members").iter().filter(|it| it["state"] == "alive");
         let alive =
             alive.map(|it| (it["host"].as_str().expect("a host").to_owned(), it["standing"].as_u64()));
-        (told["of"].as_u64().expect("a number") as usize, alive.collect())
+        (status["of"].as_u64().expect("a number") as usize, alive.collect())
     }
 
-    fn all_know(&self, of: &[usize]) {
+    fn assert_all_know(&self, of: &[usize]) {
         let all: BTreeMap<String, Option<u64>> =
             of.iter().map(|at| (name(*at).to_string(), Some(*at as u64))).collect();
         for at in of {
@@ -172,13 +173,14 @@
 }
 
 #[test]
-fn a_machine_is_replaced_and_its_figures_come_without_a_restart_of_the_others() {
+fn replaced_member_publishes_figures_without_restart_of_the_others() {
     let mut net = Net::new(&[0, 1, 2, 3, 4]);
     net.run(15 * SECOND);
-    net.all_know(&[0, 1, 2, 3, 4]);
+    net.assert_all_know(&[0, 1, 2, 3, 4]);
     net.kill(1);
     net.run(SECOND);
-    // The new one first, in an order of its own; the others one after another.
+    // The new member starts first, with a list in another order; the others change their lists one after
+    // another.
     let of = [5, 4, 3, 2, 0];
     net.start(5, &of);
     net.log.clear();
@@ -187,22 +189,22 @@
         net.change(at, &of);
     }
     net.run(15 * SECOND);
-    net.all_know(&[0, 2, 3, 4, 5]);
+    net.assert_all_know(&[0, 2, 3, 4, 5]);
     let bad: Vec<_> = net.log.iter().filter(|(_, bad, _)| *bad).collect();
     assert!(bad.iter().all(|(_, _, text)| text.contains("n1") || text.contains("no member")), "{bad:?}");
-    // Back under its name, it has a place of its own.
+    // A member that returns under its old name gets a new place.
     let of = [0, 1, 2, 3, 4, 5];
     of.iter().for_each(|at| net.change(*at, &of));
     net.start(1, &of);
     net.run(15 * SECOND);
-    net.all_know(&of);
+    net.assert_all_know(&of);
     assert_eq!(net.nodes[&0].places, [0, 9, 2, 3, 4, 5, 1].map(|at| Some(at).filter(|at| *at != 9)));
 }
 
 #[test]
-fn a_voter_can_not_be_removed_in_place_and_a_list_that_is_refused_changes_nothing() {
+fn refused_member_list_changes_nothing() {
     let mut part = part(0, &[0, 1, 2, 3], &[1, 2, 3], 1);
-    let mut said = Vec::new();
+    let mut actions = Vec::new();
     let before = part.members(SECOND);
     for (of, why) in [
         (&[0, 1, 2][..], "n3 is a voter, and can't be removed in place"),
@@ -210,24 +212,24 @@
         (&[0, 1, 2, 3, 3], "member n3 is named twice"),
     ] {
         assert_eq!(part.check_members(&members(of)), Err(why.to_owned()));
-        part.set_members(SECOND, members(of), &mut said);
-        let told = std::mem::take(&mut said);
-        assert!(matches!(&told[..], [Said::Log(true, text)] if text.ends_with(why)), "{told:?}");
+        part.set_members(SECOND, members(of), &mut actions);
+        let logged = std::mem::take(&mut actions);
+        assert!(matches!(&logged[..], [Said::Log(true, text)] if text.ends_with(why)), "{logged:?}");
         assert_eq!(part.members(SECOND), before);
     }
-    part.set_members(SECOND, members(&[0, 1, 2, 3, 7]), &mut said);
-    assert!(said.is_empty() && part.members(SECOND)["of"] == 5);
+    part.set_members(SECOND, members(&[0, 1, 2, 3, 7]), &mut actions);
+    assert!(actions.is_empty() && part.members(SECOND)["of"] == 5);
 }
 
 #[test]
-fn places_run_out_after_many_changes_and_it_is_told() {
+fn member_list_is_refused_when_places_run_out() {
     let mut part = part(0, &[0, 1], &[], 1);
-    let mut said = Vec::new();
+    let mut actions = Vec::new();
     for _ in 0..16 * 1024 - 2 {
-        part.set_members(SECOND, members(&[0]), &mut said);
-        part.set_members(SECOND, members(&[0, 1]), &mut said);
+        part.set_members(SECOND, members(&[0]), &mut actions);
+        part.set_members(SECOND, members(&[0, 1]), &mut actions);
     }
-    assert!(said.iter().all(|it| !matches!(it, Said::Log(true, _))));
-    part.set_members(SECOND, members(&[0]), &mut said);
+    assert!(actions.iter().all(|it| !matches!(it, Said::Log(true, _))));
+    part.set_members(SECOND, members(&[0]), &mut actions);
     assert!(part.check_members(&members(&[0, 1])).is_err_and(|why| why.contains("no place is left")));
 }
--- a/crates/lemoncleat-configuration/src/distributor.rs
+++ b/crates/lemoncleat-configuration/src/distributor.rs
@@ -1,4 +1,4 @@
-//! A node's side: what it holds, tells, fetches, puts in force and keeps.
+//! The state machine of one node: spreads announcements, fetches texts, applies versions and persists a copy.
 
 mod fetch;
 mod operators;
@@ -6,115 +6,117 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::kept::Kept;
-use crate::ledger::{cut, Announcement, Command, Ledger};
-use crate::limits::{Timing, KEEP_AGAIN, NOTICE, START_FRESH, START_WAIT};
-use crate::message::{Calls, Report, Word};
+use crate::kept::SavedCopy;
+use crate::ledger::{bounded_line, Announcement, Command, Ledger};
+use crate::limits::{Timing, NOTICE_INTERVAL_US, PERSIST_RETRY_US, START_LEADER_AGE_US, START_WAIT_US};
+use crate::message::{Calls, Message, Report};
 use crate::packed::Version;
 use crate::plant::{self, Plant};
-use crate::query::{Queries, Query, Sums};
+use crate::query::{Queries, Query, VersionCounts};
 use crate::rollout::{roles, Rollout};
 use crate::Micros;
 use fetch::Fetch;
-use operators::Wish;
+use operators::PendingChange;
 
-/// A member and the zone that it stands in.
+/// A member of the fleet and its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its number, the same at all nodes.
+    /// The member's number, the same at all nodes.
     pub id: u32,
-    /// Its zone.
+    /// The member's zone.
     pub zone: Arc<str>,
 }
 
-/// What a distributor has to know.
+/// The settings of a distributor.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The node's own number.
     pub own: u32,
     /// All members, in any order.
     pub members: Vec<Member>,
-    /// Those that keep the log.
+    /// The members that replicate the log.
     pub voters: Vec<u32>,
-    /// The length of the fleet's round; beats and windows follow it between 0.2 and 1 s.
+    /// The length of the fleet's round. Beats and watch windows scale with it, clamped to 0.2 to 1 s.
     pub round: Micros,
 }
 
-/// What happened.
+/// An event for [`Distributor::handle`].
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// What the disk held at the start, or why it can't be read. Once, first.
-    Found(Result<Option<Vec<u8>>, String>),
-    /// [`Distributor::wake`] has come.
+    /// The copy read from disk at the start, or the error that prevented it. Sent once, before all other
+    /// input.
+    Loaded(Result<Option<Vec<u8>>, String>),
+    /// The time returned by [`Distributor::wake`] was reached.
     Timeout,
-    /// A connection with this member stands.
-    Linked(u32),
-    /// It stands no more.
-    Unlinked(u32),
-    /// A member said this.
-    Heard {
-        /// Who.
+    /// A connection with this member was established.
+    Connected(u32),
+    /// The connection with this member was closed.
+    Disconnected(u32),
+    /// A message of a member arrived.
+    Received {
+        /// The sender.
         from: u32,
-        /// What.
+        /// The encoded message.
         bytes: &'a [u8],
     },
-    /// At a voter: the ledger at the start, and after each of its commands.
+    /// At a voter: the ledger, at the start and after each applied command.
     Ledger(&'a Ledger),
-    /// At a voter: whether it leads.
+    /// At a voter: whether this node is the leader.
     Leading(bool),
-    /// What became of [`Output::Try`].
-    Configured {
-        /// Its number.
+    /// The result of [`Output::Apply`].
+    Applied {
+        /// The number of the version.
         number: u64,
-        /// In force, or why not.
+        /// `Ok` if it is in force, else the reason of the failure.
         result: Result<(), String>,
     },
-    /// What became of [`Output::Keep`].
-    Kept(Result<(), String>),
-    /// The node's calls so far.
+    /// The result of [`Output::Persist`].
+    Persisted(Result<(), String>),
+    /// The node's call counters since its start.
     Calls(Calls),
-    /// An operator's change, its text checked.
+    /// A change by an operator. The driver has validated the text.
     Change {
-        /// Whom to answer.
+        /// The operator's connection, for the answer.
         conn: u64,
-        /// His name for it.
+        /// The operator's identifier of the order.
         order: &'a str,
-        /// The version that it was made on.
+        /// The number of the version that the change is based on.
         parent: u64,
-        /// The text.
+        /// The text of the new version.
         text: &'a str,
     },
-    /// An operator asks who has what in force.
+    /// An operator asks which members have which version in force.
     Query {
-        /// Whom to answer.
+        /// The operator's connection, for the answer.
         conn: u64,
     },
-    /// The members from now on.
+    /// The member list changed.
     Members(Vec<Member>),
 }
 
-/// What is to be done.
+/// An action for the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Say this to a member; it may be lost.
-    Tell {
-        /// To whom: a neighbour or a voter.
+    /// Send this message to a member. It may be lost.
+    Send {
+        /// The receiver: a neighbour or a voter.
         to: u32,
-        /// What.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Put this in force, whole or not at all, and say [`Input::Configured`]. Number 0 and no text: as in the node's file.
-    Try {
-        /// Its number.
+    /// Put this version in force atomically and report [`Input::Applied`]. Number 0 with an empty text stands
+    /// for the settings of the node's file.
+    Apply {
+        /// The number of the version.
         number: u64,
-        /// Its text.
+        /// The text of the version.
         text: String,
     },
-    /// Keep these bytes in place of those before, durably, and say [`Input::Kept`].
-    Keep(Vec<u8>),
-    /// What is in force at the start is decided. Once.
-    Settled,
-    /// At a voter: propose this to the log.
+    /// Durably replace the saved copy by these bytes and report [`Input::Persisted`].
+    Persist(Vec<u8>),
+    /// The version in force at the start is decided. Sent once.
+    Ready,
+    /// At a voter: propose this command to the log.
     Propose(Vec<u8>),
     /// Answer the operator on this connection.
     Answer {
@@ -123,118 +125,120 @@
         /// The answer.
         answer: Answer,
     },
-    /// For the log.
+    /// An event to be logged.
     Notice(Notice),
 }
 
-/// An operator's answer.
+/// An answer to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The order is agreed, under this number; the first nodes begin.
+    /// The order is agreed as the version of this number, and the canaries start its trial.
     Agreed {
-        /// The order.
+        /// The operator's identifier of the order.
         order: String,
         /// The version's number.
         number: u64,
     },
-    /// The order is not, and why.
+    /// The order was refused.
     Refused {
-        /// The order.
+        /// The operator's identifier of the order.
         order: String,
-        /// Why, in a line.
+        /// The reason, on one line.
         error: String,
     },
-    /// Who has what in force.
+    /// The number of members for each version in force.
     Counted {
         /// The settled version's number.
         newest: u64,
-        /// How many of how many answered.
+        /// The number of members that answered.
         answered: u32,
-        /// All members.
+        /// The number of all members.
         of: u32,
-        /// Their numbers.
-        sums: Sums,
+        /// The counts by version.
+        counts: VersionCounts,
     },
 }
 
-/// What an operator should read.
+/// An event that an operator should see in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// This version is in force here; 0 for the file's.
+    /// This version is in force at this node; 0 stands for the node's file.
     InForce(u64),
-    /// This version can't be used here, and why.
+    /// This version can't be used at this node; with the reason.
     Refused(u64, String),
-    /// A trial began, or ended, at this step.
+    /// A trial started or ended at this step.
     Step(Announcement),
-    /// The kept copy is not used, and why.
+    /// The saved copy is not used; with the reason.
     CopyUnusable(String),
-    /// The copy can't be kept, and why.
-    NotKept(String),
-    /// This member served a wrong text of this version.
+    /// The copy can't be saved; with the reason.
+    PersistFailed(String),
+    /// This member served a text that does not match this version's digest.
     WrongText(u32, u64),
-    /// A word of this member was not heard: unreadable, too long, out of order or no member's.
-    Unheard(u32),
+    /// A message of this sender was discarded: it is unreadable or too long, or the sender is not a member.
+    MessageDiscarded(u32),
 }
 
-/// How far the newest change is.
+/// The progress of the newest change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing was ever agreed.
+    /// No version was ever agreed.
     None,
     /// A version is under trial.
     Trial,
-    /// One version is for all.
+    /// The newest version is settled for all members.
     All,
 }
 
-/// A node's own state.
+/// The configuration state of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The number in force; 0 for the file.
+    /// The number of the version in force; 0 for the node's file.
     pub in_force: u64,
     /// The version in force.
     pub version: Option<Version>,
-    /// The newest number that it has heard of.
+    /// The newest version number that the node knows of.
     pub newest: u64,
-    /// The step of that.
+    /// The step of the held announcement.
     pub step: u64,
-    /// How far that is.
+    /// The progress of the newest version.
     pub phase: Phase,
-    /// Whether this node is among the first.
+    /// Whether this node is a canary.
     pub canary: bool,
-    /// How long ago the leader said so, in microseconds; none if never heard.
+    /// The time since the leader last confirmed the announcement, in microseconds; none if it never did.
     pub age: Option<Micros>,
-    /// Why it has not what it should have.
+    /// The reason why the wanted version is not in force, if it was refused.
     pub refused: Option<String>,
-    /// Whether a neighbour or the log confirmed it since the start; else it is from the kept copy.
+    /// Whether a neighbour or the log confirmed the state since the start; otherwise it comes from the saved
+    /// copy.
     pub confirmed: bool,
 }
 
-/// Counts since the start.
+/// Message counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Words told, and their bytes.
-    pub told: u64,
-    /// Bytes of them.
-    pub told_bytes: u64,
-    /// Bytes of chunks among them.
+    /// Messages sent.
+    pub sent: u64,
+    /// Bytes of the messages sent.
+    pub sent_bytes: u64,
+    /// Bytes of text chunks sent.
     pub served_bytes: u64,
-    /// Words that could not be read, or were too long.
+    /// Received messages that could not be decoded or were too long.
     pub unreadable: u64,
-    /// Words of no members.
-    pub strangers: u64,
-    /// Words that nobody waited for.
-    pub out_of_order: u64,
+    /// Received messages whose sender is not a member.
+    pub unknown_senders: u64,
+    /// Received messages that answer no pending request.
+    pub unexpected: u64,
 }
 
 #[derive(Default)]
 struct Peer {
-    /// The step that it is known to be at.
+    /// The step of the last announcement or beat of this neighbour.
     step: Option<u64>,
+    /// The numbers of the texts that the neighbour holds.
     holds: [u64; 2],
 }
 
-/// The node's side of the configuration.
+/// The configuration state machine of one node.
 pub struct Distributor {
     own: u32,
     members: Vec<Member>,
@@ -243,47 +247,47 @@
     timing: Timing,
     peers: BTreeMap<u32, Peer>,
     held: Announcement,
-    /// The moment at which the leader said so.
-    said_at: Option<Micros>,
+    /// The time at which the leader last confirmed the announcement.
+    leader_confirmed_at: Option<Micros>,
     texts: BTreeMap<u64, (Version, Vec<u8>)>,
     in_force: Option<Version>,
-    trying: Option<Option<Version>>,
-    /// The step and number refused, and why.
+    applying: Option<Option<Version>>,
+    /// The step and number of the refused version, and the reason.
     refused: Option<(u64, u64, String)>,
     canary: bool,
     control: bool,
     calls: Calls,
-    before: Calls,
+    calls_before: Calls,
     report_at: Option<Micros>,
     beat_at: Micros,
-    turn: u32,
+    last_beat_peer: u32,
     fetch: Option<Fetch>,
-    /// Neighbours that are not asked for a text before this.
-    avoid: BTreeMap<(u32, u64), Micros>,
-    /// The end of the wait at the start; none before the first turn.
-    start_until: Option<Micros>,
-    informed: bool,
+    /// For a neighbour and a version's number, the time until which the text is preferably fetched elsewhere.
+    avoid_until: BTreeMap<(u32, u64), Micros>,
+    /// The end of the wait at the start; none before the first input.
+    start_deadline: Option<Micros>,
+    confirmed: bool,
     started: bool,
-    /// The version of the kept copy, while it is of use.
-    copy: Option<Version>,
-    keeping: Option<Version>,
-    keep_at: Micros,
+    /// The version of the saved copy, unless that proved unusable.
+    saved_copy: Option<Version>,
+    persisting: Option<Version>,
+    persist_after: Micros,
     ledger: Option<Ledger>,
     leading: bool,
     rollout: Option<Rollout>,
-    wishes: Vec<Wish>,
-    /// At a voter: others' orders, and how long they wait.
-    orders: BTreeMap<(String, u32), Micros>,
-    asked: usize,
+    pending_changes: Vec<PendingChange>,
+    /// At a voter: orders of other nodes that are not agreed yet, and when they expire.
+    forwarded_orders: BTreeMap<(String, u32), Micros>,
+    next_voter: usize,
     queries: Queries,
-    query: u64,
-    unheard_at: Option<Micros>,
+    last_query: u64,
+    discard_notice_at: Option<Micros>,
     stats: Stats,
 }
 
 impl Distributor {
-    /// One that holds nothing. `seed` sets its first beat and its queries' numbers apart from those of others and of its
-    /// earlier starts.
+    /// Creates a distributor without any version. The `seed` selects the first neighbour of the beat and the
+    /// first query number, so that these differ between nodes and between restarts.
     pub fn new(settings: Settings, seed: u64) -> Distributor {
         let timing = Timing::new(settings.round);
         Distributor {
@@ -294,81 +298,81 @@
             timing,
             peers: BTreeMap::new(),
             held: Announcement::default(),
-            said_at: None,
+            leader_confirmed_at: None,
             texts: BTreeMap::new(),
             in_force: None,
-            trying: None,
+            applying: None,
             refused: None,
             canary: false,
             control: false,
             calls: Calls::default(),
-            before: Calls::default(),
+            calls_before: Calls::default(),
             report_at: None,
             beat_at: 0,
-            turn: (seed >> 32) as u32,
+            last_beat_peer: (seed >> 32) as u32,
             fetch: None,
-            avoid: BTreeMap::new(),
-            start_until: None,
-            informed: false,
+            avoid_until: BTreeMap::new(),
+            start_deadline: None,
+            confirmed: false,
             started: false,
-            copy: None,
-            keeping: None,
-            keep_at: 0,
+            saved_copy: None,
+            persisting: None,
+            persist_after: 0,
             ledger: None,
             leading: false,
             rollout: None,
-            wishes: Vec::new(),
-            orders: BTreeMap::new(),
-            asked: seed as usize % 5,
+            pending_changes: Vec::new(),
+            forwarded_orders: BTreeMap::new(),
+            next_voter: seed as usize % 5,
             queries: Queries::default(),
-            query: seed,
-            unheard_at: None,
+            last_query: seed,
+            discard_notice_at: None,
             stats: Stats::default(),
         }
     }
 
-    /// Something happened.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
-        self.start_until.get_or_insert(now + START_WAIT);
+        self.start_deadline.get_or_insert(now + START_WAIT_US);
         match input {
-            Input::Found(found) => self.found(now, found, out),
+            Input::Loaded(loaded) => self.copy_loaded(now, loaded, out),
             Input::Timeout => {}
-            Input::Linked(peer) => {
+            Input::Connected(peer) => {
                 if self.ids.contains(&peer) && peer != self.own {
                     self.peers.insert(peer, Peer::default());
                     self.announce(now, peer, out);
                 }
             }
-            Input::Unlinked(peer) => {
+            Input::Disconnected(peer) => {
                 self.peers.remove(&peer);
-                self.queries.unlinked(peer);
+                self.queries.disconnected(peer);
             }
-            Input::Heard { from, bytes } => self.heard(now, from, bytes, out),
+            Input::Received { from, bytes } => self.message_received(now, from, bytes, out),
             Input::Ledger(ledger) => {
                 self.ledger = Some(ledger.clone());
-                self.learned(now, out);
+                self.ledger_changed(now, out);
             }
             Input::Leading(leading) => {
                 if leading && !self.leading {
                     if let Some(rollout) = &mut self.rollout {
-                        rollout.lead(now);
+                        rollout.start_leading(now);
                     }
                 }
                 self.leading = leading;
             }
-            Input::Configured { number, result } => self.configured(now, number, result, out),
-            Input::Kept(result) => {
-                if let (Some(version), Err(why)) = (self.keeping.take(), &result) {
-                    if self.copy == Some(version) {
-                        self.copy = None;
+            Input::Applied { number, result } => self.version_applied(now, number, result, out),
+            Input::Persisted(result) => {
+                if let (Some(version), Err(reason)) = (self.persisting.take(), &result) {
+                    if self.saved_copy == Some(version) {
+                        self.saved_copy = None;
                     }
-                    self.keep_at = now + KEEP_AGAIN;
-                    out.push(Output::Notice(Notice::NotKept(cut(why.clone()))));
+                    self.persist_after = now + PERSIST_RETRY_US;
+                    out.push(Output::Notice(Notice::PersistFailed(bounded_line(reason.clone()))));
                 }
             }
             Input::Calls(calls) => self.calls = calls,
             Input::Change { conn, order, parent, text } => self.change(now, conn, order, parent, text, out),
-            Input::Query { conn } => self.ask_all(now, conn, out),
+            Input::Query { conn } => self.query_members(now, conn, out),
             Input::Members(members) => {
                 self.ids = members.iter().map(|member| member.id).collect();
                 self.members = members;
@@ -376,27 +380,28 @@
                 self.peers.retain(|peer, _| ids.contains(peer));
             }
         }
-        self.turn(now, out);
+        self.run_due_work(now, out);
     }
 
-    /// The operator's connection is gone: nobody waits for its answers.
+    /// Drops the pending changes of an operator whose connection was closed.
     pub fn operator_left(&mut self, conn: u64) {
-        self.wishes.retain(|wish| wish.conn != conn);
+        self.pending_changes.retain(|change| change.conn != conn);
     }
 
-    /// When it wants [`Input::Timeout`] at the latest.
+    /// Returns the latest time at which [`Input::Timeout`] is due.
     pub fn wake(&self) -> Option<Micros> {
-        // While the driver puts a version in force, its word is waited for.
-        let start = self.start_until.filter(|_| !self.started && self.trying.is_none());
+        // While the driver applies a version, the start waits for its result instead of the timeout.
+        let start = self.start_deadline.filter(|_| !self.started && self.applying.is_none());
         let rollout =
             self.rollout.as_ref().filter(|_| self.leading).map(|rollout| rollout.wake(&self.timing));
-        let fetch = self.fetch.as_ref().map(|fetch| fetch.until);
-        let wishes = self.wishes.iter().map(|wish| wish.again.min(wish.until)).min();
-        let others = [start, rollout, fetch, wishes, self.report_at, self.queries.wake()];
+        let fetch = self.fetch.as_ref().map(|fetch| fetch.deadline);
+        let pending_changes =
+            self.pending_changes.iter().map(|change| change.retry_at.min(change.deadline)).min();
+        let others = [start, rollout, fetch, pending_changes, self.report_at, self.queries.wake()];
         others.into_iter().flatten().chain([self.beat_at]).min()
     }
 
-    /// The node's own state.
+    /// Returns the configuration state of this node.
     pub fn status(&self, now: Micros) -> Status {
         let newest = self.held.trial.or(self.held.settled);
         Status {
@@ -411,31 +416,31 @@
             },
             canary: self.canary,
             age: self.age(now),
-            refused: self.refused.as_ref().map(|(.., why)| why.clone()),
-            confirmed: self.informed,
+            refused: self.refused.as_ref().map(|(.., reason)| reason.clone()),
+            confirmed: self.confirmed,
         }
     }
 
-    /// What it holds of the newest.
+    /// Returns the held announcement.
     pub fn announcement(&self) -> Announcement {
         self.held
     }
 
-    /// Counts since the start.
+    /// Returns the message counters since the start.
     pub fn stats(&self) -> Stats {
         self.stats
     }
 
-    fn turn(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn run_due_work(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.leading && self.ledger.as_ref().is_some_and(|own| own.announcement().step == self.held.step) {
-            self.said_at = Some(now);
+            self.leader_confirmed_at = Some(now);
         }
-        self.pursue(now, out);
-        self.enforce(now, out);
-        self.keep(now, out);
+        self.fetch_missing(now, out);
+        self.apply_wanted(now, out);
+        self.persist_settled(now, out);
         self.report(now, out);
-        self.judge(now, out);
-        self.wish(now, out);
+        self.propose_decision(now, out);
+        self.propose_pending(now, out);
         self.answer_queries(now, out);
         if self.beat_at <= now {
             self.beat_at = now + self.timing.beat;
@@ -443,17 +448,17 @@
         }
     }
 
-    // ---- What is told ----
+    // ---- Sending ----
 
-    fn tell(&mut self, to: u32, word: &Word, out: &mut Vec<Output>) {
-        let bytes = word.to_bytes();
-        self.stats.told += 1;
-        self.stats.told_bytes += bytes.len() as u64;
-        out.push(Output::Tell { to, bytes });
+    fn send(&mut self, to: u32, message: &Message, out: &mut Vec<Output>) {
+        let bytes = message.to_bytes();
+        self.stats.sent += 1;
+        self.stats.sent_bytes += bytes.len() as u64;
+        out.push(Output::Send { to, bytes });
     }
 
     fn age(&self, now: Micros) -> Option<Micros> {
-        self.said_at.map(|at| (now - at).max(0))
+        self.leader_confirmed_at.map(|at| (now - at).max(0))
     }
 
     fn age_ms(&self, now: Micros) -> Option<u32> {
@@ -472,56 +477,56 @@
 
     fn announce(&mut self, now: Micros, to: u32, out: &mut Vec<Output>) {
         let (announcement, age_ms, holds) = (self.held, self.age_ms(now), self.holds());
-        self.tell(to, &Word::Announce { announcement, age_ms, holds }, out);
+        self.send(to, &Message::Announce { announcement, age_ms, holds }, out);
     }
 
-    fn say_beat(&mut self, now: Micros, to: u32, out: &mut Vec<Output>) {
-        let word = Word::Beat { step: self.held.step, age_ms: self.age_ms(now), holds: self.holds() };
-        self.tell(to, &word, out);
+    fn send_beat(&mut self, now: Micros, to: u32, out: &mut Vec<Output>) {
+        let message = Message::Beat { step: self.held.step, age_ms: self.age_ms(now), holds: self.holds() };
+        self.send(to, &message, out);
     }
 
-    /// One neighbour after another hears the step and the age.
+    /// Sends the step and its age to the next neighbour, in round-robin order.
     fn beat(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let after = self.peers.range(self.turn.saturating_add(1)..).next();
+        let after = self.peers.range(self.last_beat_peer.saturating_add(1)..).next();
         let Some(to) = after.or(self.peers.iter().next()).map(|(peer, _)| *peer) else { return };
-        self.turn = to;
+        self.last_beat_peer = to;
         if !plant::is(Plant::Mute) {
-            self.say_beat(now, to, out);
+            self.send_beat(now, to, out);
         }
     }
 
-    // ---- What is heard ----
+    // ---- Receiving ----
 
-    fn unheard(&mut self, now: Micros, from: u32, out: &mut Vec<Output>) {
-        if self.unheard_at.is_none_or(|at| at + NOTICE <= now) {
-            self.unheard_at = Some(now);
-            out.push(Output::Notice(Notice::Unheard(from)));
+    fn report_discarded(&mut self, now: Micros, from: u32, out: &mut Vec<Output>) {
+        if self.discard_notice_at.is_none_or(|at| at + NOTICE_INTERVAL_US <= now) {
+            self.discard_notice_at = Some(now);
+            out.push(Output::Notice(Notice::MessageDiscarded(from)));
         }
     }
 
-    fn heard(&mut self, now: Micros, from: u32, bytes: &[u8], out: &mut Vec<Output>) {
+    fn message_received(&mut self, now: Micros, from: u32, bytes: &[u8], out: &mut Vec<Output>) {
         if !self.ids.contains(&from) || from == self.own {
-            self.stats.strangers += 1;
-            return self.unheard(now, from, out);
+            self.stats.unknown_senders += 1;
+            return self.report_discarded(now, from, out);
         }
-        let Some(word) = Word::read(bytes) else {
+        let Some(message) = Message::read(bytes) else {
             self.stats.unreadable += 1;
-            return self.unheard(now, from, out);
+            return self.report_discarded(now, from, out);
         };
-        let expected = match word {
-            Word::Announce { announcement, age_ms, holds } => {
+        let expected = match message {
+            Message::Announce { announcement, age_ms, holds } => {
                 self.peer(from, announcement.step, holds);
-                self.take(now, announcement, Some(from), age_ms, out);
+                self.adopt(now, announcement, Some(from), age_ms, out);
                 self.confirm(now, announcement.step, age_ms);
                 if announcement.step < self.held.step {
                     self.announce(now, from, out);
                 }
                 true
             }
-            Word::Beat { step, age_ms, holds } => {
+            Message::Beat { step, age_ms, holds } => {
                 self.peer(from, step, holds);
                 if step > self.held.step {
-                    self.tell(from, &Word::Ask, out);
+                    self.send(from, &Message::Ask, out);
                 } else if step < self.held.step {
                     self.announce(now, from, out);
                 } else {
@@ -529,33 +534,35 @@
                 }
                 true
             }
-            Word::Ask => {
+            Message::Ask => {
                 self.announce(now, from, out);
                 true
             }
-            Word::Fetch { number, at } => {
-                self.serve(from, number, at, out);
+            Message::Fetch { number, at } => {
+                self.serve_chunk(from, number, at, out);
                 true
             }
-            Word::Chunk { number, at, bytes } => self.chunk(now, from, number, at, bytes, out),
-            Word::Lacks { number } => self.lacks(now, from, number),
-            Word::Report(report) => {
+            Message::Chunk { number, at, bytes } => self.chunk_received(now, from, number, at, bytes, out),
+            Message::Lacks { number } => self.text_lacking(now, from, number),
+            Message::Report(report) => {
                 if let Some(rollout) = &mut self.rollout {
-                    rollout.hear(now, from, report);
+                    rollout.record(now, from, report);
                 }
                 true
             }
-            Word::Order { order, parent, packed } => self.ordered(now, from, order, parent, packed, out),
-            Word::Verdict { order, verdict } => self.verdict(&order, &verdict, out),
-            Word::Query { asker, query, depth, newest } => {
+            Message::Order { order, parent, packed } => {
+                self.order_received(now, from, order, parent, packed, out)
+            }
+            Message::Verdict { order, verdict } => self.verdict_received(&order, &verdict, out),
+            Message::Query { asker, query, depth, newest } => {
                 let query = Query { key: (asker, query), depth, newest, parent: Some(from), conn: None };
-                self.queried(now, from, query, out);
+                self.query_received(now, from, query, out);
                 true
             }
-            Word::Sums { asker, query, sums } => self.queries.sums((asker, query), from, sums),
+            Message::Counts { asker, query, counts } => self.queries.receive((asker, query), from, counts),
         };
         if !expected {
-            self.stats.out_of_order += 1;
+            self.stats.unexpected += 1;
         }
     }
 
@@ -566,17 +573,17 @@
         }
     }
 
-    /// Somebody says how long ago the leader stood at this step.
+    /// Takes over a reported time since the leader confirmed this step, if it is more recent.
     fn confirm(&mut self, now: Micros, step: u64, age_ms: Option<u32>) {
         let Some(age) = age_ms.filter(|_| step == self.held.step).map(|ms| Micros::from(ms) * 1_000) else {
             return;
         };
-        self.said_at = Some(self.said_at.map_or(now - age, |at| at.max(now - age)));
-        self.informed |= age <= START_FRESH;
+        self.leader_confirmed_at = Some(self.leader_confirmed_at.map_or(now - age, |at| at.max(now - age)));
+        self.confirmed |= age <= START_LEADER_AGE_US;
     }
 
-    /// At a voter, the ledger changed.
-    fn learned(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// At a voter: takes over texts, trial and announcement of the changed ledger.
+    fn ledger_changed(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(ledger) = &self.ledger else { return };
         let announcement = ledger.announcement();
         for version in [announcement.settled, announcement.trial].into_iter().flatten() {
@@ -592,14 +599,14 @@
                 self.rollout = Some(Rollout::new(now, announcement.step, &self.members, &trial.digest));
             }
         }
-        // A voter that runs learns it from the leader's word of now.
-        self.take(now, announcement, None, (self.leading || self.started).then_some(0), out);
-        self.informed |= self.leading;
+        // A running voter applies commands as the leader commits them, so the announcement's age is 0.
+        self.adopt(now, announcement, None, (self.leading || self.started).then_some(0), out);
+        self.confirmed |= self.leading;
         self.answer_orders(out);
     }
 
-    /// Takes an announcement of a higher step in place of the held one, and tells the neighbours.
-    fn take(
+    /// Replaces the held announcement by one of a higher step and forwards it to the neighbours.
+    fn adopt(
         &mut self,
         now: Micros,
         announcement: Announcement,
@@ -607,17 +614,18 @@
         age_ms: Option<u32>,
         out: &mut Vec<Output>,
     ) {
-        let lower = plant::is(Plant::LowerStep) && announcement.step < self.held.step;
-        if announcement.step <= self.held.step && !lower {
+        let accept_lower = plant::is(Plant::LowerStep) && announcement.step < self.held.step;
+        if announcement.step <= self.held.step && !accept_lower {
             return;
         }
         self.held = announcement;
-        self.said_at = age_ms.map(|ms| now - Micros::from(ms) * 1_000);
+        self.leader_confirmed_at = age_ms.map(|ms| now - Micros::from(ms) * 1_000);
         self.refused = None;
         let named = [announcement.settled, announcement.trial];
-        let copy = self.copy.filter(|_| !self.started);
-        self.texts.retain(|_, (version, _)| named.contains(&Some(*version)) || copy == Some(*version));
-        self.avoid.retain(|(_, number), _| named.iter().flatten().any(|version| version.number == *number));
+        let saved_copy = self.saved_copy.filter(|_| !self.started);
+        self.texts.retain(|_, (version, _)| named.contains(&Some(*version)) || saved_copy == Some(*version));
+        self.avoid_until
+            .retain(|(_, number), _| named.iter().flatten().any(|version| version.number == *number));
         let (canaries, controls) = match announcement.trial {
             Some(trial) => roles(&self.members, &trial.digest),
             None => Default::default(),
@@ -625,7 +633,7 @@
         self.canary =
             canaries.contains(&self.own) || (plant::is(Plant::AllCanaries) && announcement.trial.is_some());
         self.control = controls.contains(&self.own) && !self.canary;
-        self.before = self.calls;
+        self.calls_before = self.calls;
         self.report_at = (self.canary || self.control).then_some(now);
         out.push(Output::Notice(Notice::Step(announcement)));
         let behind = |peer: &Peer| peer.step.is_none_or(|step| step < announcement.step);
@@ -637,21 +645,21 @@
         }
     }
 
-    // ---- What is in force ----
+    // ---- Version in force ----
 
-    fn found(&mut self, now: Micros, found: Result<Option<Vec<u8>>, String>, out: &mut Vec<Output>) {
-        let kept = match found {
+    fn copy_loaded(&mut self, now: Micros, loaded: Result<Option<Vec<u8>>, String>, out: &mut Vec<Output>) {
+        let saved = match loaded {
             Ok(None) => return,
-            Ok(Some(bytes)) => Kept::read(&bytes).map_err(str::to_owned),
-            Err(why) => Err(cut(why)),
+            Ok(Some(bytes)) => SavedCopy::read(&bytes).map_err(str::to_owned),
+            Err(reason) => Err(bounded_line(reason)),
         };
-        match kept {
-            Ok(Kept { step, version, packed }) => {
-                self.copy = Some(version);
+        match saved {
+            Ok(SavedCopy { step, version, packed }) => {
+                self.saved_copy = Some(version);
                 self.texts.insert(version.number, (version, packed));
-                self.take(now, Announcement { step, settled: Some(version), trial: None }, None, None, out);
+                self.adopt(now, Announcement { step, settled: Some(version), trial: None }, None, None, out);
             }
-            Err(why) => out.push(Output::Notice(Notice::CopyUnusable(why))),
+            Err(reason) => out.push(Output::Notice(Notice::CopyUnusable(reason))),
         }
     }
 
@@ -663,13 +671,13 @@
         }
     }
 
-    /// Puts in force what should be, once the start's wait is over and the text is there.
-    fn enforce(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.trying.is_some() {
+    /// Applies the wanted version once the wait at the start is over and the text is available.
+    fn apply_wanted(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if self.applying.is_some() {
             return;
         }
-        let over = self.start_until.is_some_and(|until| until <= now);
-        if !self.started && !self.informed && !over {
+        let wait_over = self.start_deadline.is_some_and(|deadline| deadline <= now);
+        if !self.started && !self.confirmed && !wait_over {
             return;
         }
         let wanted = self.wanted();
@@ -678,71 +686,79 @@
         if let (Some(version), false) = (wanted, ready) {
             ready = refused(&version);
             if !ready && self.packed(&version).is_some() {
-                return self.attempt(version, out);
+                return self.apply(version, out);
             }
         } else if !ready {
-            self.trying = Some(None);
-            return out.push(Output::Try { number: 0, text: String::new() });
+            self.applying = Some(None);
+            return out.push(Output::Apply { number: 0, text: String::new() });
         }
-        if self.started || !(ready || over) {
+        if self.started || !(ready || wait_over) {
             return;
         }
-        // At the end of the wait the kept copy is better than the file; the newest follows when its text is there.
-        let copy = self.copy.filter(|copy| !ready && self.in_force.is_none() && !refused(copy));
+        // After the wait the saved copy is preferred to the node's file. The newest version follows when its
+        // text arrives.
+        let copy = self.saved_copy.filter(|copy| !ready && self.in_force.is_none() && !refused(copy));
         if let Some(copy) = copy.filter(|copy| self.packed(copy).is_some()) {
-            return self.attempt(copy, out);
+            return self.apply(copy, out);
         }
         self.started = true;
-        out.push(Output::Settled);
+        out.push(Output::Ready);
     }
 
-    fn attempt(&mut self, version: Version, out: &mut Vec<Output>) {
+    fn apply(&mut self, version: Version, out: &mut Vec<Output>) {
         match self.packed(&version).map(|packed| version.text(packed)) {
             Some(Ok(text)) => {
-                self.trying = Some(Some(version));
-                out.push(Output::Try { number: version.number, text });
+                self.applying = Some(Some(version));
+                out.push(Output::Apply { number: version.number, text });
             }
-            // What was checked when it came is fetched again.
+            // The text passed its check on arrival but fails now: it is fetched again.
             _ => drop(self.texts.remove(&version.number)),
         }
     }
 
-    fn configured(&mut self, now: Micros, tried: u64, result: Result<(), String>, out: &mut Vec<Output>) {
-        let Some(trying) = self.trying.filter(|trying| number(*trying) == tried) else { return };
-        self.trying = None;
+    fn version_applied(
+        &mut self,
+        now: Micros,
+        applied: u64,
+        result: Result<(), String>,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(applying) = self.applying.filter(|new| number(*new) == applied) else { return };
+        self.applying = None;
         match result {
             Ok(()) => {
-                self.in_force = trying;
+                self.in_force = applying;
                 self.refused = None;
-                self.before = self.calls;
-                out.push(Output::Notice(Notice::InForce(tried)));
+                self.calls_before = self.calls;
+                out.push(Output::Notice(Notice::InForce(applied)));
             }
-            Err(why) => {
-                let why = cut(why);
-                out.push(Output::Notice(Notice::Refused(tried, why.clone())));
-                self.refused = Some((self.held.step, tried, why));
-                if self.copy.is_some_and(|copy| copy.number == tried) {
-                    self.copy = None;
+            Err(reason) => {
+                let reason = bounded_line(reason);
+                out.push(Output::Notice(Notice::Refused(applied, reason.clone())));
+                self.refused = Some((self.held.step, applied, reason));
+                if self.saved_copy.is_some_and(|copy| copy.number == applied) {
+                    self.saved_copy = None;
                 }
             }
         }
         self.report_at = self.report_at.map(|_| now);
     }
 
-    fn keep(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn persist_settled(&mut self, now: Micros, out: &mut Vec<Output>) {
         let Some(version) = self.held.settled.filter(|version| self.in_force == Some(*version)) else {
             return;
         };
-        if self.keeping.is_some() || self.copy == Some(version) || now < self.keep_at {
+        if self.persisting.is_some() || self.saved_copy == Some(version) || now < self.persist_after {
             return;
         }
         let Some(packed) = self.packed(&version).map(<[u8]>::to_vec) else { return };
-        // The step of a trial is not the settled version's: a node that starts with the copy has to hear of the trial.
+        // During a trial the step is stored less 1: a node that starts from the copy must still accept the
+        // announcement of the trial.
         let step = self.held.step.saturating_sub(u64::from(self.held.trial.is_some()));
-        let kept = Kept { step, version, packed };
-        self.copy = Some(version);
-        self.keeping = Some(version);
-        out.push(Output::Keep(kept.to_bytes()));
+        let saved = SavedCopy { step, version, packed };
+        self.saved_copy = Some(version);
+        self.persisting = Some(version);
+        out.push(Output::Persist(saved.to_bytes()));
     }
 
     // ---- The trial ----
@@ -757,20 +773,24 @@
         let report = Report {
             step: self.held.step,
             in_force,
-            refused: refused.map(|(.., why)| why.clone()),
-            calls: if in_force || self.control { self.calls.since(self.before) } else { Calls::default() },
+            refused: refused.map(|(.., reason)| reason.clone()),
+            calls: if in_force || self.control {
+                self.calls.since(self.calls_before)
+            } else {
+                Calls::default()
+            },
         };
         for voter in self.voters.clone() {
             if voter != self.own {
-                self.tell(voter, &Word::Report(report.clone()), out);
+                self.send(voter, &Message::Report(report.clone()), out);
             } else if let Some(rollout) = &mut self.rollout {
-                rollout.hear(now, voter, report.clone());
+                rollout.record(now, voter, report.clone());
             }
         }
     }
 
-    /// The leader decides.
-    fn judge(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// At the leader: proposes the decision on the trial when one is due.
+    fn propose_decision(&mut self, now: Micros, out: &mut Vec<Output>) {
         let (Some(rollout), Some(ledger)) = (self.rollout.as_mut().filter(|_| self.leading), &self.ledger)
         else {
             return;
--- a/crates/lemoncleat-configuration/src/limits.rs
+++ b/crates/lemoncleat-configuration/src/limits.rs
@@ -1,68 +1,72 @@
-//! Bounds and tuned values, each with its reason.
+//! Limits and timing constants.
 
 use crate::Micros;
 
-/// Longest text, in bytes.
+/// Maximum length of a text, in bytes.
 pub const MAX_TEXT: usize = 256 * 1024;
-/// Longest packed text, in bytes: with its order one command of the log, which takes 64 KiB.
+/// Maximum length of a packed text, in bytes. Together with its order it has to fit into a log command of 64
+/// KiB.
 pub const MAX_PACKED: usize = 48 * 1024;
-/// Longest name of an order, in bytes.
+/// Maximum length of an order's identifier, in bytes.
 pub const MAX_ORDER: usize = 64;
-/// Longest word, in bytes: an order with its packed text.
-pub const MAX_WORD: usize = 56 * 1024;
-/// Longest reason that travels or is kept, in bytes: a line.
-pub(crate) const MAX_WHY: usize = 160;
-/// Bytes of a chunk: calls' messages wait behind no longer word.
-pub(crate) const CHUNK: usize = 12 * 1024;
-/// Verdicts kept: more orders than that can't be under way at five voters within the operators' patience.
-pub(crate) const MOST_VERDICTS: usize = 64;
-/// Orders of one node, and of other nodes at a voter, that wait.
-pub(crate) const MOST_ORDERS: usize = 64;
-/// Queries remembered at a node.
-pub(crate) const MOST_QUERIES: usize = 64;
-/// Numbers told apart in an answer, and nodes named in it.
-pub(crate) const MOST_NUMBERS: usize = 16;
-pub(crate) const MOST_OTHERS: usize = 32;
+/// Maximum length of a message, in bytes; the longest one is an order with its packed text.
+pub const MAX_MESSAGE: usize = 56 * 1024;
+/// Maximum length of a reason that is sent or stored, in bytes.
+pub(crate) const MAX_REASON: usize = 160;
+/// Bytes of a chunk. It bounds the delay of call messages that queue behind it on the same connection.
+pub(crate) const CHUNK_BYTES: usize = 12 * 1024;
+/// Maximum number of stored verdicts. Five voters can't have more orders pending within the order time-out.
+pub(crate) const MAX_VERDICTS: usize = 64;
+/// Maximum number of pending orders of a node, and of pending orders of other nodes at a voter.
+pub(crate) const MAX_PENDING_ORDERS: usize = 64;
+/// Maximum number of queries that a node remembers.
+pub(crate) const MAX_QUERIES: usize = 64;
+/// Maximum number of versions counted separately in an answer, and of members listed in it.
+pub(crate) const MAX_COUNTED_VERSIONS: usize = 16;
+pub(crate) const MAX_LISTED_MEMBERS: usize = 32;
 
-/// How long a start waits for a neighbour.
-pub(crate) const START_WAIT: Micros = 2_000_000;
-/// A neighbour that heard of the leader within this is up to date enough to end that wait.
-pub(crate) const START_FRESH: Micros = 60_000_000;
-/// How long an operator's order may take to be agreed.
-pub(crate) const PATIENCE: Micros = 10_000_000;
-/// A query's whole wait, what each hop takes off it, the least that is left, and how long it is remembered.
-pub(crate) const QUERY_WAIT: Micros = 2_000_000;
-pub(crate) const QUERY_HOP: Micros = 150_000;
-pub(crate) const QUERY_LEAST: Micros = 200_000;
-pub(crate) const QUERY_MEMORY: Micros = 10_000_000;
-/// Least span between two notices of one sort, and between two tries to keep a copy.
-pub(crate) const NOTICE: Micros = 60_000_000;
-pub(crate) const KEEP_AGAIN: Micros = 10_000_000;
+/// Maximum time for which a starting node waits for a neighbour's announcement.
+pub(crate) const START_WAIT_US: Micros = 2_000_000;
+/// A neighbour whose state the leader confirmed within this time is recent enough to end that wait.
+pub(crate) const START_LEADER_AGE_US: Micros = 60_000_000;
+/// Time within which an operator's order has to be agreed.
+pub(crate) const ORDER_TIMEOUT_US: Micros = 10_000_000;
+/// Time-out of a query at the asking node, its reduction per hop, its minimum, and how long a query is
+/// remembered.
+pub(crate) const QUERY_TIMEOUT_US: Micros = 2_000_000;
+pub(crate) const QUERY_HOP_US: Micros = 150_000;
+pub(crate) const QUERY_MIN_TIMEOUT_US: Micros = 200_000;
+pub(crate) const QUERY_RETENTION_US: Micros = 10_000_000;
+/// Minimum interval between two notices of one kind, and between two attempts to persist a copy.
+pub(crate) const NOTICE_INTERVAL_US: Micros = 60_000_000;
+pub(crate) const PERSIST_RETRY_US: Micros = 10_000_000;
 
-/// Canaries, and as many controls, of a zone: one may be absent.
-pub(crate) const CANARIES: usize = 2;
-/// Fewer calls than this say nothing of a share.
-pub(crate) const LEAST_CALLS: u64 = 20;
-/// A share is worse if it is greater by this and by so many standard errors: 3 is one false stop in 740 looks.
-pub(crate) const WORSE_BY: f64 = 0.02;
-pub(crate) const WORSE_ERRORS: f64 = 3.0;
+/// Canaries of a zone, and as many controls. With two, one of them may be absent.
+pub(crate) const CANARIES_PER_ZONE: usize = 2;
+/// Minimum number of calls for a meaningful share.
+pub(crate) const MIN_CALLS: u64 = 20;
+/// A share counts as worse if it exceeds the other by this difference and by this number of standard errors.
+/// 3 standard errors give one false stop in 740 comparisons.
+pub(crate) const MIN_EXCESS_SHARE: f64 = 0.02;
+pub(crate) const MIN_EXCESS_ERRORS: f64 = 3.0;
 
-/// Spans that follow the fleet's round.
+/// Intervals that scale with the fleet's round.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timing {
-    /// From one word to a neighbour in turn to the next; also the patience with a chunk and an order's voter.
+    /// Interval between beats; also the time-out of a chunk and of an order sent to a voter.
     pub beat: Micros,
-    /// From one report to the next: the leader's picture is at most a third of the window old.
+    /// Interval between reports. The leader's view is at most a third of the watch window old.
     pub report: Micros,
-    /// How long canaries are watched: with 2 s of spread a change is at all within half of the 10 s.
-    pub window: Micros,
-    /// When too few canaries stop a trial.
-    pub late: Micros,
+    /// How long canaries are watched. With 2 s to spread, a change reaches all members within half of the 10
+    /// s allowed.
+    pub watch_window: Micros,
+    /// Time after which a trial is rolled back if too few canaries have it in force.
+    pub canary_deadline: Micros,
 }
 
 impl Timing {
     pub fn new(round: Micros) -> Timing {
         let beat = round.clamp(200_000, 1_000_000);
-        Timing { beat, report: beat / 2, window: beat * 3 / 2, late: beat * 4 }
+        Timing { beat, report: beat / 2, watch_window: beat * 3 / 2, canary_deadline: beat * 4 }
     }
 }
--- a/crates/lemoncleat-configuration/src/message.rs
+++ b/crates/lemoncleat-configuration/src/message.rs
@@ -1,19 +1,19 @@
-//! What distributors tell each other, in postcard.
+//! The messages between distributors, encoded with postcard.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ledger::{Announcement, Verdict};
-use crate::limits::MAX_WORD;
-use crate::query::Sums;
+use crate::limits::MAX_MESSAGE;
+use crate::query::VersionCounts;
 
-/// Calls of a node, cumulative since its start.
+/// Call counters of a node, cumulative since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Calls {
-    /// Calls that came.
+    /// All calls.
     pub calls: u64,
-    /// Of these, refused.
+    /// Calls that were refused.
     pub refused: u64,
-    /// Of these, lost: without an answer, or cut.
+    /// Calls that were lost: without an answer, or cut off.
     pub lost: u64,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// How a canary or control stands to the trial of a step.
+/// The state of a canary or control during the trial of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Report {
     pub step: u64,
@@ -37,22 +37,23 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Word {
-    /// The sender's announcement; how long ago the leader said so, if it ever heard; and the texts that it holds.
+pub(crate) enum Message {
+    /// The sender's announcement, the time since the leader confirmed it (if it ever did), and the texts that
+    /// the sender holds.
     Announce {
         announcement: Announcement,
         age_ms: Option<u32>,
         holds: [u64; 2],
     },
-    /// The step of its announcement, the age, and the texts that it holds.
+    /// The step of the sender's announcement, its age, and the texts that the sender holds.
     Beat {
         step: u64,
         age_ms: Option<u32>,
         holds: [u64; 2],
     },
-    /// Tell me your announcement.
+    /// Requests the receiver's announcement.
     Ask,
-    /// Send me the packed text of this number from this byte on.
+    /// Requests the packed text of this version, from this byte offset on.
     Fetch {
         number: u64,
         at: u32,
@@ -62,7 +63,7 @@
         at: u32,
         bytes: Vec<u8>,
     },
-    /// I don't hold it.
+    /// The sender does not hold the requested text.
     Lacks {
         number: u64,
     },
@@ -76,30 +77,31 @@
         order: String,
         verdict: Verdict,
     },
-    /// Who is in force at what: the asking member, its number for it, how far off it is, what it holds for settled.
+    /// Asks for the versions in force: the asking member, its query number, the hops from it, and the number
+    /// of its settled version.
     Query {
         asker: u32,
         query: u64,
         depth: u8,
         newest: u64,
     },
-    /// The answer of all whom the sender asked in turn.
-    Sums {
+    /// The answer to a query: the counts of the sender and of all members that it forwarded the query to.
+    Counts {
         asker: u32,
         query: u64,
-        sums: Sums,
+        counts: VersionCounts,
     },
 }
 
-impl Word {
+impl Message {
     pub fn to_bytes(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    pub fn read(bytes: &[u8]) -> Option<Word> {
-        if bytes.len() > MAX_WORD {
+    pub fn read(bytes: &[u8]) -> Option<Message> {
+        if bytes.len() > MAX_MESSAGE {
             return None;
         }
-        postcard::take_from_bytes(bytes).ok().and_then(|(word, rest)| rest.is_empty().then_some(word))
+        postcard::take_from_bytes(bytes).ok().and_then(|(message, rest)| rest.is_empty().then_some(message))
     }
 }
--- a/crates/lemoncleat-configuration/src/packed.rs
+++ b/crates/lemoncleat-configuration/src/packed.rs
@@ -1,4 +1,4 @@
-//! A text, its digest, and its packed form within bounds.
+//! Texts, their digests, and their packed form of bounded length.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 pub struct Digest(pub [u8; 32]);
 
 impl Digest {
-    /// The digest of bytes.
+    /// Computes the digest of bytes.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest(*blake3::hash(bytes).as_bytes())
     }
@@ -31,41 +31,41 @@
     }
 }
 
-/// Names a version and tells its text from any other.
+/// Identifies a version and its text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// Its number, from 1 on.
+    /// The version number, starting at 1.
     pub number: u64,
-    /// The digest of its text.
+    /// The digest of the text.
     pub digest: Digest,
-    /// Bytes of its text.
+    /// The length of the text in bytes.
     pub length: u32,
-    /// Bytes of its packed text.
+    /// The length of the packed text in bytes.
     pub packed: u32,
 }
 
-/// Why a text can't be used.
+/// The reason why a text can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unusable {
-    /// No text at all.
+    /// The text is empty.
     Empty,
-    /// More than 256 KiB, or more than 48 KiB packed.
+    /// The text is longer than 256 KiB, or than 48 KiB packed.
     TooLong(usize),
-    /// Packed bytes that hold no text.
+    /// The packed bytes can't be decoded to a text.
     Unreadable,
-    /// Another text than the one asked for.
+    /// The text does not match the digest of its version.
     WrongDigest,
 }
 
 impl fmt::Display for Unusable {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Unusable::Empty => write!(f, "an empty text"),
+            Unusable::Empty => write!(f, "the text is empty"),
             Unusable::TooLong(bytes) => {
                 write!(f, "{bytes} bytes; at most {MAX_TEXT}, and {MAX_PACKED} packed with DEFLATE")
             }
-            Unusable::Unreadable => write!(f, "bytes that hold no text"),
-            Unusable::WrongDigest => write!(f, "another text than its digest says"),
+            Unusable::Unreadable => write!(f, "the packed bytes can't be decoded to a text"),
+            Unusable::WrongDigest => write!(f, "the text does not match its digest"),
         }
     }
 }
@@ -76,7 +76,7 @@
 ///
 /// # Errors
 ///
-/// When it is empty or too long.
+/// If the text is empty or too long.
 pub fn pack(text: &str) -> Result<Vec<u8>, Unusable> {
     if text.is_empty() {
         return Err(Unusable::Empty);
@@ -91,11 +91,12 @@
     Ok(packed)
 }
 
-/// The text of packed bytes. Takes no more memory than the longest text, whatever they say.
+/// Unpacks a text. The output is limited to [`MAX_TEXT`] bytes, so that malicious input can't exhaust the
+/// memory.
 ///
 /// # Errors
 ///
-/// When they are too long, hold no text or more than the longest.
+/// If the bytes are too long, can't be decoded, or hold an empty or too long text.
 pub fn unpack(packed: &[u8]) -> Result<String, Unusable> {
     if packed.len() > MAX_PACKED {
         return Err(Unusable::TooLong(packed.len()));
@@ -109,22 +110,22 @@
 }
 
 impl Version {
-    /// The version of this number that packed bytes hold.
+    /// Creates the version of this number from its packed text.
     ///
     /// # Errors
     ///
-    /// As [`unpack`].
+    /// The same as for [`unpack`].
     pub fn of(number: u64, packed: &[u8]) -> Result<Version, Unusable> {
         let text = unpack(packed)?;
         let digest = Digest::of(text.as_bytes());
         Ok(Version { number, digest, length: text.len() as u32, packed: packed.len() as u32 })
     }
 
-    /// The text of this version out of packed bytes.
+    /// Unpacks the text of this version and checks its digest.
     ///
     /// # Errors
     ///
-    /// As [`unpack`], and when it is another's.
+    /// The same as for [`unpack`], and [`Unusable::WrongDigest`] if the digest differs.
     pub fn text(&self, packed: &[u8]) -> Result<String, Unusable> {
         let text = unpack(packed)?;
         if Digest::of(text.as_bytes()) != self.digest && !plant::is(Plant::WrongDigest) {
--- a/crates/lemoncleat-configuration/src/plant.rs
+++ b/crates/lemoncleat-configuration/src/plant.rs
@@ -1,30 +1,30 @@
-//! Mistakes that tests put into the core, to show that the laws find them.
+//! Faults that tests inject into the state machines to show that the invariant checks detect them.
 
-/// A mistake.
+/// An injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[doc(hidden)]
 pub enum Plant {
-    /// A text is taken whatever its digest.
+    /// A text is accepted whatever its digest.
     WrongDigest,
-    /// An announcement is taken whatever its step.
+    /// An announcement is accepted whatever its step.
     LowerStep,
-    /// Every node tries the trial.
+    /// Every node acts as a canary.
     AllCanaries,
-    /// A second change on one parent is taken.
-    SecondChange,
-    /// A canary's refusal is not looked at.
+    /// A change is accepted while another one is under trial.
+    AcceptSecondChange,
+    /// The leader ignores that a canary refuses the version.
     DeafToRefusal,
-    /// Calls lost at canaries are not looked at.
+    /// The leader ignores refused and lost calls at canaries.
     DeafToCalls,
-    /// A take-back leaves the step as it was.
+    /// A rollback sets a lower step.
     StepLess,
-    /// A kept copy is used though it is torn.
-    TornCopy,
-    /// After a time-out nothing is fetched again.
-    NoSecondFetch,
-    /// A number is used again after a take-back.
+    /// A saved copy is used although its digest is wrong.
+    AcceptTornCopy,
+    /// A fetch never times out, so it is never retried.
+    NoFetchRetry,
+    /// A version number is reused after a rollback.
     NumberAgain,
-    /// Neighbours are told nothing but by the first word of a link.
+    /// Neighbours get an announcement only when their connection is established.
     Mute,
 }
 
@@ -33,7 +33,7 @@
     static PLANTED: std::cell::Cell<Option<Plant>> = const { std::cell::Cell::new(None) };
 }
 
-/// Puts a mistake into all cores of this thread, or takes it out.
+/// Injects a fault into all state machines of this thread, or removes it.
 #[cfg(feature = "faults")]
 pub fn plant(plant: Option<Plant>) {
     PLANTED.set(plant);
--- a/crates/lemoncleat-configuration/src/query.rs
+++ b/crates/lemoncleat-configuration/src/query.rs
@@ -1,58 +1,60 @@
-//! Who is in force at what: asked over the links on demand, summed on the way back.
+//! Queries for the versions in force: forwarded over the connections, with the counts summed on the way back.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::limits::{
-    MAX_WHY, MOST_NUMBERS, MOST_OTHERS, MOST_QUERIES, QUERY_HOP, QUERY_LEAST, QUERY_MEMORY, QUERY_WAIT,
+    MAX_COUNTED_VERSIONS, MAX_LISTED_MEMBERS, MAX_QUERIES, MAX_REASON, QUERY_HOP_US, QUERY_MIN_TIMEOUT_US,
+    QUERY_RETENTION_US, QUERY_TIMEOUT_US,
 };
 use crate::Micros;
 
-/// A node that is not at the newest.
+/// A member that does not have the newest version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Other {
-    /// Which.
+pub struct OutdatedMember {
+    /// The member's number.
     pub member: u32,
-    /// What it has in force; 0 for its file.
+    /// The number of its version in force; 0 for the settings of its file.
     pub number: u64,
-    /// Why, if it knows.
-    pub why: String,
+    /// The reason as far as the member knows it.
+    pub reason: String,
 }
 
-/// Nodes by the number in force, and at most 32 of those that are not at the newest.
+/// The number of members per version in force, and at most 32 members that do not have the newest.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sums {
-    /// How many have which number in force.
+pub struct VersionCounts {
+    /// The number of members by the number of their version in force.
     pub versions: BTreeMap<u64, u32>,
-    /// Some that are not at the newest.
-    pub others: Vec<Other>,
+    /// Some members that do not have the newest version in force.
+    pub others: Vec<OutdatedMember>,
 }
 
-impl Sums {
+impl VersionCounts {
     fn fits(&self) -> bool {
-        self.versions.len() <= MOST_NUMBERS
-            && self.others.len() <= MOST_OTHERS
-            && self.others.iter().all(|other| other.why.len() <= MAX_WHY)
+        self.versions.len() <= MAX_COUNTED_VERSIONS
+            && self.others.len() <= MAX_LISTED_MEMBERS
+            && self.others.iter().all(|other| other.reason.len() <= MAX_REASON)
     }
 
-    fn add(&mut self, more: Sums) {
-        for (number, count) in more.versions {
-            // Beyond the numbers told apart, the lowest stands for all below.
-            let place = if self.versions.len() < MOST_NUMBERS || self.versions.contains_key(&number) {
-                number
-            } else {
-                self.versions.keys().next().copied().unwrap_or(number)
-            };
-            let held = self.versions.entry(place).or_default();
-            *held = held.saturating_add(count);
+    fn add(&mut self, other: VersionCounts) {
+        for (number, count) in other.versions {
+            // Versions beyond the limit are counted under the lowest number held.
+            let counted_as =
+                if self.versions.len() < MAX_COUNTED_VERSIONS || self.versions.contains_key(&number) {
+                    number
+                } else {
+                    self.versions.keys().next().copied().unwrap_or(number)
+                };
+            let total = self.versions.entry(counted_as).or_default();
+            *total = total.saturating_add(count);
         }
-        let room = MOST_OTHERS.saturating_sub(self.others.len());
-        self.others.extend(more.others.into_iter().take(room));
+        let free = MAX_LISTED_MEMBERS.saturating_sub(self.others.len());
+        self.others.extend(other.others.into_iter().take(free));
     }
 }
 
-/// A query as it is heard: its asker and number, how far off that is, and whom to answer.
+/// A received query: the asking member with its query number, the hops from it, and whom to answer.
 #[derive(Clone, Copy)]
 pub(crate) struct Query {
     pub key: (u32, u64),
@@ -62,75 +64,76 @@
     pub conn: Option<u64>,
 }
 
-struct Asked {
+struct Pending {
     parent: Option<u32>,
     conn: Option<u64>,
-    waits: BTreeSet<u32>,
-    sums: Sums,
-    until: Micros,
-    forget: Micros,
+    awaiting: BTreeSet<u32>,
+    counts: VersionCounts,
+    deadline: Micros,
+    forget_at: Micros,
     done: bool,
 }
 
-/// A query that is at its end here: whom to answer.
-pub(crate) struct Done {
+/// A query that is finished at this node, and whom to answer.
+pub(crate) struct Finished {
     pub key: (u32, u64),
     pub parent: Option<u32>,
     pub conn: Option<u64>,
-    pub sums: Sums,
+    pub counts: VersionCounts,
 }
 
-/// The queries that a node has heard of.
+/// The queries that a node has received.
 #[derive(Default)]
 pub(crate) struct Queries {
-    asked: BTreeMap<(u32, u64), Asked>,
+    pending: BTreeMap<(u32, u64), Pending>,
 }
 
 impl Queries {
-    /// A query heard; false if it was before, or there are too many.
-    pub fn hear(&mut self, now: Micros, query: Query, waits: BTreeSet<u32>, own: Sums) -> bool {
+    /// Starts a query. Returns false if it is already known or there are too many.
+    pub fn start(&mut self, now: Micros, query: Query, awaiting: BTreeSet<u32>, own: VersionCounts) -> bool {
         let Query { key, depth, parent, conn, .. } = query;
-        if self.asked.contains_key(&key) || self.asked.len() >= MOST_QUERIES {
+        if self.pending.contains_key(&key) || self.pending.len() >= MAX_QUERIES {
             return false;
         }
-        let wait = (QUERY_WAIT - QUERY_HOP * Micros::from(depth)).max(QUERY_LEAST);
-        let (until, forget) = (now + wait, now + QUERY_MEMORY);
-        self.asked.insert(key, Asked { parent, conn, waits, sums: own, until, forget, done: false });
+        let wait = (QUERY_TIMEOUT_US - QUERY_HOP_US * Micros::from(depth)).max(QUERY_MIN_TIMEOUT_US);
+        let (deadline, forget_at) = (now + wait, now + QUERY_RETENTION_US);
+        self.pending
+            .insert(key, Pending { parent, conn, awaiting, counts: own, deadline, forget_at, done: false });
         true
     }
 
-    /// A neighbour's sums; false if nobody waits for them.
-    pub fn sums(&mut self, key: (u32, u64), from: u32, sums: Sums) -> bool {
-        let Some(asked) = self.asked.get_mut(&key).filter(|asked| !asked.done) else { return false };
-        if !sums.fits() || !asked.waits.remove(&from) {
+    /// Adds the counts of a neighbour. Returns false if they are invalid or not awaited.
+    pub fn receive(&mut self, key: (u32, u64), from: u32, counts: VersionCounts) -> bool {
+        let Some(query) = self.pending.get_mut(&key).filter(|query| !query.done) else { return false };
+        if !counts.fits() || !query.awaiting.remove(&from) {
             return false;
         }
-        asked.sums.add(sums);
+        query.counts.add(counts);
         true
     }
 
-    /// Nobody waits for this neighbour any more.
-    pub fn unlinked(&mut self, peer: u32) {
-        for asked in self.asked.values_mut() {
-            asked.waits.remove(&peer);
+    /// Stops waiting for a neighbour whose connection was closed.
+    pub fn disconnected(&mut self, peer: u32) {
+        for pending in self.pending.values_mut() {
+            pending.awaiting.remove(&peer);
         }
     }
 
-    /// The queries that are at their end.
-    pub fn done(&mut self, now: Micros) -> Vec<Done> {
-        self.asked.retain(|_, asked| !asked.done || now < asked.forget);
-        let mut done = Vec::new();
-        for (key, asked) in &mut self.asked {
-            if !asked.done && (asked.waits.is_empty() || now >= asked.until) {
-                asked.done = true;
-                let sums = std::mem::take(&mut asked.sums);
-                done.push(Done { key: *key, parent: asked.parent, conn: asked.conn, sums });
+    /// Returns the queries that are complete or timed out, and forgets old ones.
+    pub fn take_finished(&mut self, now: Micros) -> Vec<Finished> {
+        self.pending.retain(|_, pending| !pending.done || now < pending.forget_at);
+        let mut finished = Vec::new();
+        for (key, pending) in &mut self.pending {
+            if !pending.done && (pending.awaiting.is_empty() || now >= pending.deadline) {
+                pending.done = true;
+                let counts = std::mem::take(&mut pending.counts);
+                finished.push(Finished { key: *key, parent: pending.parent, conn: pending.conn, counts });
             }
         }
-        done
+        finished
     }
 
     pub fn wake(&self) -> Option<Micros> {
-        self.asked.values().filter(|asked| !asked.done).map(|asked| asked.until).min()
+        self.pending.values().filter(|pending| !pending.done).map(|pending| pending.deadline).min()
     }
 }
