--- a/crates/lemoncleat-configuration/src/rollout.rs
+++ b/crates/lemoncleat-configuration/src/rollout.rs
@@ -1,17 +1,18 @@
-//! What the leader decides on a trial from the reports of canaries and controls.
+//! The leader's decision on a trial, based on the reports of canaries and controls.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::distributor::Member;
-use crate::ledger::{cut, Decision};
-use crate::limits::{Timing, CANARIES, LEAST_CALLS, WORSE_BY, WORSE_ERRORS};
+use crate::ledger::{bounded_line, Decision};
+use crate::limits::{Timing, CANARIES_PER_ZONE, MIN_CALLS, MIN_EXCESS_ERRORS, MIN_EXCESS_SHARE};
 use crate::message::{Calls, Report};
 use crate::packed::Digest;
 use crate::plant::{self, Plant};
 use crate::Micros;
 
-/// The canaries and the controls of a trial, the same at all nodes: of each zone the first two in the order of the digest
-/// of trial and member, and the next two. Canaries are at most half of the members.
+/// Returns the canaries and the controls of a trial, the same at all nodes. The members of each zone are
+/// ordered by the digest of trial and member: the first two are canaries, the next two controls. At most half
+/// of the members are canaries.
 pub fn roles(members: &[Member], trial: &Digest) -> (BTreeSet<u32>, BTreeSet<u32>) {
     let mut zones = BTreeMap::<&str, Vec<([u8; 32], u32)>>::new();
     for member in members {
@@ -21,115 +22,119 @@
         zones.entry(&member.zone).or_default().push((*hasher.finalize().as_bytes(), member.id));
     }
     zones.values_mut().for_each(|zone| zone.sort_unstable());
-    let mut first: Vec<_> = zones.values().flat_map(|zone| zone.iter().take(CANARIES).copied()).collect();
-    first.sort_unstable();
-    first.truncate((members.len() / 2).max(1));
-    let canaries: BTreeSet<u32> = first.into_iter().map(|(_, id)| id).collect();
+    let mut candidates: Vec<_> =
+        zones.values().flat_map(|zone| zone.iter().take(CANARIES_PER_ZONE).copied()).collect();
+    candidates.sort_unstable();
+    candidates.truncate((members.len() / 2).max(1));
+    let canaries: BTreeSet<u32> = candidates.into_iter().map(|(_, id)| id).collect();
     let next = |zone: &Vec<([u8; 32], u32)>| {
         let others = zone.iter().map(|(_, id)| *id).filter(|id| !canaries.contains(id));
-        others.take(CANARIES).collect::<Vec<_>>()
+        others.take(CANARIES_PER_ZONE).collect::<Vec<_>>()
     };
     let controls = zones.values().flat_map(next).collect();
     (canaries, controls)
 }
 
-/// The reports on a trial, and since when.
+/// The state of a trial at a voter.
 #[derive(Debug, Default)]
 pub(crate) struct Rollout {
     step: u64,
     canaries: BTreeSet<u32>,
     controls: BTreeSet<u32>,
     reports: BTreeMap<u32, Report>,
-    since: Micros,
-    half: Option<Micros>,
-    full: Option<Micros>,
-    proposed: Option<Micros>,
+    started_at: Micros,
+    half_at: Option<Micros>,
+    full_at: Option<Micros>,
+    proposed_at: Option<Micros>,
 }
 
 impl Rollout {
     pub fn new(now: Micros, step: u64, members: &[Member], trial: &Digest) -> Rollout {
         let (canaries, controls) = roles(members, trial);
-        Rollout { step, canaries, controls, since: now, ..Rollout::default() }
+        Rollout { step, canaries, controls, started_at: now, ..Rollout::default() }
     }
 
     pub fn step(&self) -> u64 {
         self.step
     }
 
-    /// This node leads from now on: it looks as long as a leader from the start on.
-    pub fn lead(&mut self, now: Micros) {
-        self.since = now;
-        self.half = None;
-        self.full = None;
-        self.proposed = None;
-        self.count(now);
+    /// Restarts the watch window as this node becomes the leader.
+    pub fn start_leading(&mut self, now: Micros) {
+        self.started_at = now;
+        self.half_at = None;
+        self.full_at = None;
+        self.proposed_at = None;
+        self.update_thresholds(now);
     }
 
-    pub fn hear(&mut self, now: Micros, from: u32, report: Report) {
+    pub fn record(&mut self, now: Micros, from: u32, report: Report) {
         let known = self.canaries.contains(&from) || self.controls.contains(&from);
         if report.step == self.step && known {
             self.reports.insert(from, report);
-            self.count(now);
+            self.update_thresholds(now);
         }
     }
 
-    fn count(&mut self, now: Micros) {
+    fn update_thresholds(&mut self, now: Micros) {
         let stand = self.in_force();
         if stand * 2 >= self.canaries.len() {
-            self.half.get_or_insert(now);
+            self.half_at.get_or_insert(now);
         }
         if stand == self.canaries.len() {
-            self.full.get_or_insert(now);
+            self.full_at.get_or_insert(now);
         }
     }
 
     fn in_force(&self) -> usize {
-        let stands = |id: &&u32| self.reports.get(id).is_some_and(|report| report.in_force);
-        self.canaries.iter().filter(stands).count()
+        let has_version = |id: &&u32| self.reports.get(id).is_some_and(|report| report.in_force);
+        self.canaries.iter().filter(has_version).count()
     }
 
-    /// When it may decide at the earliest.
+    /// Returns the earliest time of a decision.
     pub fn wake(&self, timing: &Timing) -> Micros {
-        let late = self.since + timing.late;
-        let next = match (self.full, self.half) {
-            (Some(full), _) => full + timing.window,
-            (_, Some(half)) => late.max(half + timing.window),
-            _ => late,
+        let canary_deadline = self.started_at + timing.canary_deadline;
+        let next = match (self.full_at, self.half_at) {
+            (Some(full_at), _) => full_at + timing.watch_window,
+            (_, Some(half_at)) => canary_deadline.max(half_at + timing.watch_window),
+            _ => canary_deadline,
         };
-        next.max(self.proposed.map_or(0, |at| at + timing.beat))
+        next.max(self.proposed_at.map_or(0, |at| at + timing.beat))
     }
 
-    /// What is to be proposed now; again after a beat while nothing comes of it.
+    /// Returns the decision to propose now, if any. It is proposed again after each beat until it is
+    /// committed.
     pub fn decide(&mut self, now: Micros, timing: &Timing) -> Option<Decision> {
-        if self.proposed.is_some_and(|at| now < at + timing.beat) {
+        if self.proposed_at.is_some_and(|at| now < at + timing.beat) {
             return None;
         }
         let decision = self.decision(now, timing)?;
-        self.proposed = Some(now);
+        self.proposed_at = Some(now);
         Some(decision)
     }
 
     fn decision(&self, now: Micros, timing: &Timing) -> Option<Decision> {
         let refusal = |id: &u32| Some((*id, self.reports.get(id)?.refused.clone()?));
-        if let Some((id, why)) = self.canaries.iter().find_map(refusal) {
+        if let Some((id, reason)) = self.canaries.iter().find_map(refusal) {
             if !plant::is(Plant::DeafToRefusal) {
-                return Some(Decision::TakeBack { why: cut(format!("member {id:08x}: {why}")) });
+                return Some(Decision::RollBack {
+                    reason: bounded_line(format!("member {id:08x}: {reason}")),
+                });
             }
         }
-        let (tried, others) = (self.calls(&self.canaries), self.calls(&self.controls));
+        let (at_canaries, at_controls) = (self.calls(&self.canaries), self.calls(&self.controls));
         if !plant::is(Plant::DeafToCalls) {
-            if let Some(why) = worse(tried, others) {
-                return Some(Decision::TakeBack { why });
+            if let Some(reason) = compare_shares(at_canaries, at_controls) {
+                return Some(Decision::RollBack { reason });
             }
         }
-        let late = now >= self.since + timing.late;
-        let passed = |at: Option<Micros>| at.is_some_and(|at| now >= at + timing.window);
-        if passed(self.full) || (late && passed(self.half)) {
-            return Some(Decision::Everyone);
+        let past_deadline = now >= self.started_at + timing.canary_deadline;
+        let passed = |at: Option<Micros>| at.is_some_and(|at| now >= at + timing.watch_window);
+        if passed(self.full_at) || (past_deadline && passed(self.half_at)) {
+            return Some(Decision::Promote);
         }
         let (stand, of) = (self.in_force(), self.canaries.len());
-        (late && self.half.is_none())
-            .then(|| Decision::TakeBack { why: format!("in force at {stand} of {of} canaries only") })
+        (past_deadline && self.half_at.is_none())
+            .then(|| Decision::RollBack { reason: format!("in force at {stand} of {of} canaries only") })
     }
 
     fn calls(&self, ids: &BTreeSet<u32>) -> Calls {
@@ -143,21 +148,23 @@
     }
 }
 
-/// Whether the canaries refuse or lose a greater share than the controls: two proportions, by their standard error.
-fn worse(tried: Calls, others: Calls) -> Option<String> {
-    if tried.calls < LEAST_CALLS || others.calls < LEAST_CALLS {
+/// Compares the shares of refused and lost calls at canaries and controls, by a test of two proportions with
+/// their standard error. Returns a reason if the canaries are worse.
+fn compare_shares(at_canaries: Calls, at_controls: Calls) -> Option<String> {
+    if at_canaries.calls < MIN_CALLS || at_controls.calls < MIN_CALLS {
         return None;
     }
-    let (n, m) = (tried.calls as f64, others.calls as f64);
-    let greater = |bad: u64, of_others: u64| {
-        let (share, usual) = ((bad as f64 / n).min(1.0), (of_others as f64 / m).min(1.0));
-        let both = (share * n + usual * m) / (n + m);
-        let error = (both * (1.0 - both) * (1.0 / n + 1.0 / m)).sqrt();
-        (share - usual > WORSE_BY && share - usual > WORSE_ERRORS * error).then_some((share, usual))
+    let (n, m) = (at_canaries.calls as f64, at_controls.calls as f64);
+    let greater = |failed: u64, failed_at_controls: u64| {
+        let (share, baseline) = ((failed as f64 / n).min(1.0), (failed_at_controls as f64 / m).min(1.0));
+        let pooled = (share * n + baseline * m) / (n + m);
+        let error = (pooled * (1.0 - pooled) * (1.0 / n + 1.0 / m)).sqrt();
+        (share - baseline > MIN_EXCESS_SHARE && share - baseline > MIN_EXCESS_ERRORS * error)
+            .then_some((share, baseline))
     };
-    let told = |what: &str, (share, usual): (f64, f64)| {
-        format!("{:.1} % of calls {what} at the canaries, {:.1} % at others", share * 100.0, usual * 100.0)
+    let describe = |what: &str, (share, baseline): (f64, f64)| {
+        format!("{:.1} % of calls {what} at the canaries, {:.1} % at others", share * 100.0, baseline * 100.0)
     };
-    let refused = greater(tried.refused, others.refused).map(|shares| told("refused", shares));
-    refused.or_else(|| greater(tried.lost, others.lost).map(|shares| told("lost", shares)))
+    let refused = greater(at_canaries.refused, at_controls.refused).map(|shares| describe("refused", shares));
+    refused.or_else(|| greater(at_canaries.lost, at_controls.lost).map(|shares| describe("lost", shares)))
 }
--- a/crates/lemoncleat-configuration/tests/laws.rs
+++ b/crates/lemoncleat-configuration/tests/laws.rs
@@ -1,4 +1,4 @@
-//! The hard cases of docs/design/configuration.md, each with its laws, and wild times.
+//! Runs the test cases of docs/design/configuration.md and random faults, with several seeds each.
 
 #[path = "net/cases.rs"]
 mod cases;
@@ -6,10 +6,10 @@
 
 use cases::Case;
 
-fn holds(case: Case, seeds: u64) {
+fn check_seeds(case: Case, seeds: u64) {
     for seed in 0..seeds {
-        if let Err(why) = case(seed) {
-            panic!("seed {seed}: {why}");
+        if let Err(reason) = case(seed) {
+            panic!("seed {seed}: {reason}");
         }
     }
 }
@@ -18,29 +18,29 @@
     ($($case:ident: $seeds:expr,)*) => {
         $(#[test]
         fn $case() {
-            holds(cases::$case, $seeds);
+            check_seeds(cases::$case, $seeds);
         })*
     };
 }
 
 cases! {
-    a_change_reaches_all: 2,
-    two_changes_on_one_parent: 20,
-    the_leader_killed_between_commit_and_answer: 20,
-    killed_between_fetching_and_force_or_while_storing: 8,
-    a_torn_copy_is_told_and_not_used: 20,
-    a_late_word_changes_nothing: 10,
-    a_rollback_that_crosses_a_change: 20,
-    a_change_during_a_cut_from_both_sides: 10,
-    twenty_changes_within_a_minute: 3,
-    a_text_that_half_can_not_use: 10,
-    calls_refused_at_canaries_stop_it: 5,
-    absent_canaries: 5,
-    a_neighbour_that_serves_a_wrong_text: 4,
-    a_neighbour_that_never_answers: 4,
-    many_that_come_back_at_once: 1,
-    a_start_waits_no_longer_than_it_must: 10,
-    who_has_what: 3,
-    bad_words_change_nothing: 10,
-    wild_times: 100,
+    change_reaches_all_members_within_5_s: 2,
+    one_of_two_changes_on_the_same_parent_is_accepted: 20,
+    order_is_answered_once_when_leader_dies_after_commit: 20,
+    saved_copy_survives_kills_while_fetching_applying_or_persisting: 8,
+    corrupt_copy_is_reported_and_not_used: 20,
+    late_announcement_is_ignored: 10,
+    one_of_rollback_and_concurrent_change_is_accepted: 20,
+    only_the_majority_side_agrees_on_a_change_during_a_partition: 10,
+    twenty_changes_settle_within_a_minute: 3,
+    version_is_rolled_back_when_a_canary_refuses_it: 10,
+    version_is_rolled_back_when_canaries_lose_calls: 5,
+    trial_passes_with_half_of_the_canaries_and_fails_without_any: 5,
+    wrong_text_is_reported_and_fetched_elsewhere: 4,
+    text_is_fetched_elsewhere_when_a_neighbour_does_not_answer: 4,
+    many_nodes_restarted_at_once_start_in_time: 1,
+    start_waits_only_for_a_missing_announcement: 10,
+    query_counts_versions_in_force: 3,
+    malformed_messages_are_counted_and_ignored: 10,
+    random_faults_and_changes_converge: 100,
 }
