--- a/crates/lemoncleat-commons/benches/size.rs
+++ b/crates/lemoncleat-commons/benches/size.rs
@@ -51,11 +51,11 @@
         lemoncleat_fleet::Output::Tell { bytes, .. } => Some(bytes.len()),
         _ => None,
     });
-    let fleet = messages.max().expect("a word") - 12 + 2;
+    let fleet = messages.max().expect("a message") - 12 + 2;
     let request = MessageBuilder::request(d::CMD_FLEET, d::APP_NAS, false, 1, 1);
     let request = request.add_str(d::ORIGIN_HOST, HOST).add_str(d::ORIGIN_REALM, REALM);
     let request = request.add(d::FLEET_WORD, &[]).build();
-    let answer = MessageBuilder::answer(&MessageRef::parse(&request).expect("ours"), 2001);
+    let answer = MessageBuilder::answer(&MessageRef::parse(&request).expect("a valid request"), 2001);
     let answer = answer.add_str(d::ORIGIN_HOST, HOST).add_str(d::ORIGIN_REALM, REALM).build();
     ((request.len() + fleet) as u64, answer.len() as u64)
 }
--- a/crates/lemoncleat-configuration/src/distributor.rs
+++ b/crates/lemoncleat-configuration/src/distributor.rs
@@ -490,7 +490,7 @@
         let after = self.peers.range(self.last_beat_peer.saturating_add(1)..).next();
         let Some(to) = after.or(self.peers.iter().next()).map(|(peer, _)| *peer) else { return };
         self.last_beat_peer = to;
-        if !plant::is(Plant::Mute) {
+        if !plant::is_active(Plant::Mute) {
             self.send_beat(now, to, out);
         }
     }
@@ -614,7 +614,7 @@
         age_ms: Option<u32>,
         out: &mut Vec<Output>,
     ) {
-        let accept_lower = plant::is(Plant::LowerStep) && announcement.step < self.held.step;
+        let accept_lower = plant::is_active(Plant::LowerStep) && announcement.step < self.held.step;
         if announcement.step <= self.held.step && !accept_lower {
             return;
         }
@@ -630,8 +630,8 @@
             Some(trial) => roles(&self.members, &trial.digest),
             None => Default::default(),
         };
-        self.canary =
-            canaries.contains(&self.own) || (plant::is(Plant::AllCanaries) && announcement.trial.is_some());
+        self.canary = canaries.contains(&self.own)
+            || (plant::is_active(Plant::AllCanaries) && announcement.trial.is_some());
         self.control = controls.contains(&self.own) && !self.canary;
         self.calls_before = self.calls;
         self.report_at = (self.canary || self.control).then_some(now);
@@ -639,7 +639,7 @@
         let behind = |peer: &Peer| peer.step.is_none_or(|step| step < announcement.step);
         let peers = self.peers.iter().filter(|(id, peer)| Some(**id) != from && behind(peer));
         for to in peers.map(|(id, _)| *id).collect::<Vec<_>>() {
-            if !plant::is(Plant::Mute) {
+            if !plant::is_active(Plant::Mute) {
                 self.announce(now, to, out);
             }
         }
--- a/crates/lemoncleat-configuration/src/distributor/fetch.rs
+++ b/crates/lemoncleat-configuration/src/distributor/fetch.rs
@@ -39,7 +39,8 @@
         let found =
             missing.into_iter().find_map(|version| Some((version, self.holder(now, version.number)?)));
         let Some((version, peer)) = found else { return };
-        let deadline = if plant::is(Plant::NoFetchRetry) { Micros::MAX } else { now + self.timing.beat };
+        let deadline =
+            if plant::is_active(Plant::NoFetchRetry) { Micros::MAX } else { now + self.timing.beat };
         self.fetch = Some(Fetch { version, peer, bytes: Vec::new(), deadline });
         self.send(peer, &Message::Fetch { number: version.number, at: 0 }, out);
     }
@@ -56,7 +57,7 @@
         holders.filter(|id| avoided_until(*id) != Micros::MAX).min_by_key(rank)
     }
 
-    /// Sends a chunk of a held text, or tells that the text is not held.
+    /// Sends a chunk of a held text, or reports that the text is not held.
     pub(super) fn serve_chunk(&mut self, to: u32, number: u64, at: u32, out: &mut Vec<Output>) {
         let rest = self.texts.get(&number).and_then(|(_, packed)| packed.get(at as usize..));
         let message = match rest.filter(|rest| !rest.is_empty()) {
@@ -97,7 +98,7 @@
             self.texts.insert(number, (version, fetch.bytes));
             let lacks = self.peers.iter().filter(|(_, peer)| !peer.holds.contains(&number));
             for to in lacks.map(|(id, _)| *id).collect::<Vec<_>>() {
-                if !plant::is(Plant::Mute) {
+                if !plant::is_active(Plant::Mute) {
                     self.send_beat(now, to, out);
                 }
             }
--- a/crates/lemoncleat-configuration/src/kept.rs
+++ b/crates/lemoncleat-configuration/src/kept.rs
@@ -31,7 +31,7 @@
             return Err("its format is unknown");
         }
         let corrupt = head.get(1..) != Some(&Digest::of(body).0[..]);
-        if corrupt && !plant::is(Plant::AcceptTornCopy) {
+        if corrupt && !plant::is_active(Plant::AcceptTornCopy) {
             return Err("it is corrupt: its digest does not match");
         }
         let saved: SavedCopy = postcard::from_bytes(body).map_err(|_| "it can't be read")?;
--- a/crates/lemoncleat-configuration/src/ledger.rs
+++ b/crates/lemoncleat-configuration/src/ledger.rs
@@ -119,7 +119,7 @@
         let settled = self.announcement.settled;
         let in_force = settled.map_or(0, |version| version.number);
         if let Some(trial) = self.announcement.trial {
-            if !plant::is(Plant::AcceptSecondChange) {
+            if !plant::is_active(Plant::AcceptSecondChange) {
                 return Err(format!(
                     "version {} is under trial on {in_force}, which is in force",
                     trial.number
@@ -129,7 +129,7 @@
         if parent != in_force {
             return Err(format!("made on version {parent}, but {in_force} is in force"));
         }
-        let reuse = plant::is(Plant::NumberAgain);
+        let reuse = plant::is_active(Plant::NumberAgain);
         let number = if reuse { in_force + 1 } else { self.last_number + 1 };
         let version = Version::of(number, packed).map_err(|reason| reason.to_string())?;
         if settled.is_some_and(|settled| settled.digest == version.digest) {
@@ -148,7 +148,7 @@
                 self.rollback = None;
             }
             Decision::RollBack { reason } => {
-                if plant::is(Plant::StepLess) {
+                if plant::is_active(Plant::StepLess) {
                     self.announcement.step = index.saturating_sub(1_000_000);
                 }
                 self.rollback = Some((number, bounded_line(reason)));
--- a/crates/lemoncleat-configuration/src/packed.rs
+++ b/crates/lemoncleat-configuration/src/packed.rs
@@ -128,7 +128,7 @@
     /// The same as for [`unpack`], and [`Unusable::WrongDigest`] if the digest differs.
     pub fn text(&self, packed: &[u8]) -> Result<String, Unusable> {
         let text = unpack(packed)?;
-        if Digest::of(text.as_bytes()) != self.digest && !plant::is(Plant::WrongDigest) {
+        if Digest::of(text.as_bytes()) != self.digest && !plant::is_active(Plant::WrongDigest) {
             return Err(Unusable::WrongDigest);
         }
         Ok(text)
--- a/crates/lemoncleat-configuration/src/plant.rs
+++ b/crates/lemoncleat-configuration/src/plant.rs
@@ -40,11 +40,11 @@
 }
 
 #[cfg(feature = "faults")]
-pub(crate) fn is(plant: Plant) -> bool {
+pub(crate) fn is_active(plant: Plant) -> bool {
     PLANTED.get() == Some(plant)
 }
 
 #[cfg(not(feature = "faults"))]
-pub(crate) const fn is(_: Plant) -> bool {
+pub(crate) const fn is_active(_: Plant) -> bool {
     false
 }
--- a/crates/lemoncleat-configuration/src/rollout.rs
+++ b/crates/lemoncleat-configuration/src/rollout.rs
@@ -115,14 +115,14 @@
     fn decision(&self, now: Micros, timing: &Timing) -> Option<Decision> {
         let refusal = |id: &u32| Some((*id, self.reports.get(id)?.refused.clone()?));
         if let Some((id, reason)) = self.canaries.iter().find_map(refusal) {
-            if !plant::is(Plant::DeafToRefusal) {
+            if !plant::is_active(Plant::DeafToRefusal) {
                 return Some(Decision::RollBack {
                     reason: bounded_line(format!("member {id:08x}: {reason}")),
                 });
             }
         }
         let (at_canaries, at_controls) = (self.calls(&self.canaries), self.calls(&self.controls));
-        if !plant::is(Plant::DeafToCalls) {
+        if !plant::is_active(Plant::DeafToCalls) {
             if let Some(reason) = compare_shares(at_canaries, at_controls) {
                 return Some(Decision::RollBack { reason });
             }
