--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -428,7 +428,7 @@
 
     fn describe_notice(&self, notice: Notice) -> Said {
         let text = match notice {
-            Notice::Stranger(id) => format!("a message of a process that is no member: {id}"),
+            Notice::Stranger(id) => format!("a word of a process that is no member: {id}"),
             Notice::Impostor(id) => format!("{} sends messages in the name of another member", self.name(id)),
             Notice::Unreadable(id) => format!("a word of {} can't be read", self.name(id)),
             Notice::Jumped => "the fleet remembers a later start of this node: clock set back?".to_owned(),
--- a/crates/lemoncleat-commons/src/rules.rs
+++ b/crates/lemoncleat-commons/src/rules.rs
@@ -180,8 +180,8 @@
             (false, format!("window {id:016x} of {} can't be replayed: {why:?}", name_of(*node)))
         }
         Notice::Checked { same } => {
-            let outcome = if *same { "the same result" } else { "ANOTHER result than before" };
-            (true, format!("the cases were run a second time and gave {outcome}"))
+            let outcome = if *same { "to the same result" } else { "to ANOTHER result than before" };
+            (true, format!("the cases were played a second time and came {outcome}"))
         }
         Notice::Fenced => (
             true,
--- a/crates/lemoncleat-configuration/src/distributor/operators.rs
+++ b/crates/lemoncleat-configuration/src/distributor/operators.rs
@@ -197,7 +197,7 @@
                 None if number(self.held.settled) != newest => {
                     format!("at step {}, where {} is settled", self.held.step, number(self.held.settled))
                 }
-                None => "not in force yet".to_owned(),
+                None => "on its way".to_owned(),
             },
         });
         VersionCounts { versions: BTreeMap::from([(in_force, 1)]), others: other.into_iter().collect() }
