--- a/crates/lemoncleat-http/src/lib.rs
+++ b/crates/lemoncleat-http/src/lib.rs
@@ -1,10 +1,11 @@
 //! HTTP/1.1 messages (RFC 9110, RFC 9112) without I/O.
 //!
-//! A [`Reader`] is fed bytes as they come and gives whole messages; it is strict where leniency lets two readers of
-//! one message disagree (line ends, white space around names, two lengths), and holds no more than its [`Limits`].
-//! [`Message`]s are written with [`Message::to_bytes`].
+//! A [`Reader`] takes bytes as they are received and returns complete messages. It is strict where lenient
+//! parsing lets two parsers of one message disagree (line ends, white space around names, several lengths),
+//! and buffers no more than its [`Limits`]. [`Message`]s are serialized with [`Message::to_bytes`].
 //!
-//! What a node needs of HTTP and no more: no content coding, no trailers kept, no upgrade by itself.
+//! The crate covers only what a node needs of HTTP: content codings and upgrades are not handled, and
+//! trailers are discarded.
 
 mod head;
 mod message;
--- a/crates/lemoncleat-http/src/message.rs
+++ b/crates/lemoncleat-http/src/message.rs
@@ -1,20 +1,20 @@
-//! Whole messages, and how they are written.
+//! Complete messages and their serialization.
 
 use crate::head::{Headers, Start};
 
-/// A message with its whole body.
+/// A message with its complete body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its first line.
+    /// Start line.
     pub start: Start,
-    /// Its header fields.
+    /// Header fields.
     pub headers: Headers,
-    /// Its body, without transfer coding.
+    /// Body, with the transfer coding removed.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// A request to a host for a target (a path with its query).
+    /// Creates a request to a host for a target (path and query).
     pub fn request(method: &str, host: &str, target: &str) -> Message {
         let mut headers = Headers::default();
         headers.add("Host", host);
@@ -22,7 +22,7 @@
         Message { start, headers, body: Vec::new() }
     }
 
-    /// A response with a status.
+    /// Creates a response with a status code.
     pub fn response(status: u16) -> Message {
         Message { start: Start::Response(status), headers: Headers::default(), body: Vec::new() }
     }
@@ -34,7 +34,7 @@
         self
     }
 
-    /// Gives it a body of a media type.
+    /// Sets the body and its media type.
     #[must_use]
     pub fn with_body(mut self, media_type: &str, body: impl Into<Vec<u8>>) -> Message {
         self.headers.add("Content-Type", media_type);
@@ -42,7 +42,7 @@
         self
     }
 
-    /// The status of a response; 0 for a request.
+    /// Returns the status code of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         match self.start {
             Start::Response(status) => status,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The method and the path of a request, without its query.
+    /// Returns the method and the path, without the query, of a request.
     pub fn path(&self) -> Option<(&str, &str)> {
         match &self.start {
             Start::Request(method, target) => {
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Its bytes. The length is told wherever one may stand (not with 1xx and 204, RFC 9110 section 8.6).
+    /// Serializes the message. A Content-Length is added wherever one is allowed (not with 1xx and 204, RFC
+    /// 9110 section 8.6).
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut out = match &self.start {
             Start::Request(method, target) => format!("{method} {target} HTTP/1.1\r\n"),
@@ -69,11 +70,11 @@
         for (name, value) in self.headers.iter() {
             out += &format!("{name}: {value}\r\n");
         }
-        let bodyless = match &self.start {
+        let without_length = match &self.start {
             Start::Response(status) => *status < 200 || *status == 204,
             Start::Request(method, _) => self.body.is_empty() && matches!(&**method, "GET" | "HEAD"),
         };
-        if !bodyless && self.headers.get("Content-Length").is_none() {
+        if !without_length && self.headers.get("Content-Length").is_none() {
             out += &format!("Content-Length: {}\r\n", self.body.len());
         }
         out += "\r\n";
@@ -83,7 +84,7 @@
     }
 }
 
-/// The usual words for a status; they mean nothing to a reader.
+/// Returns the usual reason phrase of a status code; receivers ignore it.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/lemoncleat-http/tests/reader.rs
+++ b/crates/lemoncleat-http/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Messages read in every way that their bytes may be split, and what is refused.
+//! Parsing of messages whose bytes arrive split at any point, and rejection of invalid ones.
 
 use lemoncleat_http::{HttpError, Limits, Message, Reader, Side, Start};
 use proptest::prelude::*;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn bodies_are_read_by_length_by_chunks_and_to_the_end() {
+fn bodies_are_read_by_length_by_chunks_and_until_close() {
     let cases: [(&[u8], &[u8]); 6] = [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", b"abc"),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3, 3\r\n\r\nabc", b"abc"),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn requests_follow_one_another_on_a_connection() {
+fn pipelined_requests_are_read_in_order() {
     let bytes =
         b"\r\nPOST /a?b HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nhiGET /c HTTP/1.1\r\nHost: x\r\n\r\n";
     let all = read_all(Side::Server, &[bytes]).expect("two requests");
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn a_response_to_head_has_no_body_whatever_its_length_says() {
+fn response_to_head_has_no_body_despite_content_length() {
     let bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\nReplay-Nonce: n\r\n\r\n";
     let all = read_all(Side::Client { head: true }, &[bytes]).expect("a response");
     assert_eq!((all.len(), all[0].headers.get("replay-nonce")), (1, Some("n")));
 }
 
 #[test]
-fn what_two_readers_could_take_differently_is_refused() {
+fn ambiguous_messages_are_rejected() {
     let response = |head: &str| format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").into_bytes();
     let cases: Vec<(Side, Vec<u8>, HttpError)> = vec![
         (CLIENT, response("Content-Length: 3\r\nContent-Length: 4"), HttpError::Length),
@@ -84,13 +84,13 @@
         (CLIENT, b"HTTP/1.1 200 OK\r\n".to_vec(), HttpError::Truncated),
     ];
     for (side, bytes, error) in cases {
-        let told = read_all(side, &[&bytes]);
-        assert_eq!(told, Err(error), "{}", String::from_utf8_lossy(&bytes));
+        let result = read_all(side, &[&bytes]);
+        assert_eq!(result, Err(error), "{}", String::from_utf8_lossy(&bytes));
     }
 }
 
 #[test]
-fn limits_hold_before_anything_is_kept() {
+fn limits_apply_before_data_is_buffered() {
     let limits = Limits { head: 100, fields: 3, body: 10 };
     let read = |bytes: &[u8]| {
         let mut reader = Reader::new(CLIENT, limits);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_value_cannot_bring_a_field_of_its_own() {
+fn header_value_cannot_inject_a_field() {
     let bytes = Message::response(200).with("A", "b\r\nSet-Cookie: c").to_bytes();
     let all = read_all(CLIENT, &[&bytes]).expect("a response");
     assert_eq!((all[0].headers.get("Set-Cookie"), all[0].headers.get("A")), (None, Some("bSet-Cookie: c")));
@@ -117,7 +117,7 @@
 
 proptest! {
     #[test]
-    fn what_is_written_reads_back_however_it_is_split(
+    fn serialized_message_is_read_back_from_any_split(
         name in "[A-Za-z][A-Za-z0-9-]{0,20}",
         value in "[ -~]{0,40}",
         body in prop::collection::vec(any::<u8>(), 0..300),
@@ -141,12 +141,12 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), server in any::<bool>()) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400), server in any::<bool>()) {
         let _ = read_all(if server { Side::Server } else { CLIENT }, &[&bytes]);
     }
 
     #[test]
-    fn no_near_message_makes_it_panic(text in "(HTTP/1.1 200 |GET / HTTP/1.1)?(\r\n|[ -~]|Transfer-Encoding: chunked\r\n|[0-9a-f]{1,8}\r\n){0,40}") {
+    fn malformed_messages_do_not_panic(text in "(HTTP/1.1 200 |GET / HTTP/1.1)?(\r\n|[ -~]|Transfer-Encoding: chunked\r\n|[0-9a-f]{1,8}\r\n){0,40}") {
         let _ = read_all(CLIENT, &[text.as_bytes()]);
     }
 }
--- a/crates/lemoncleat-net/benches/tls.rs
+++ b/crates/lemoncleat-net/benches/tls.rs
@@ -1,5 +1,5 @@
-//! TLS on loopback with both ends in one loop: handshakes a second, full and taken up, against plain connections;
-//! what a message costs more; what a connection holds.
+//! TLS on loopback with both ends in one loop, compared with plain connections: full and resumed handshakes
+//! per second, round-trip time of a message, and memory per connection.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 };
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 
-const TIME: Duration = Duration::from_secs(5);
-const PLAIN: u64 = 1;
-const TLS: u64 = 2;
+const TIMEOUT: Duration = Duration::from_secs(5);
+const PLAIN_TAG: u64 = 1;
+const TLS_TAG: u64 = 2;
 
 struct Ends {
     server: Arc<ServerConfig>,
@@ -42,24 +42,24 @@
     Ok(Ends { server, client: Box::new(client) })
 }
 
-/// Both ends of a new connection, open. The accepting end says a byte, with which what a later handshake takes up
-/// comes along.
+/// Opens a connection and returns both ends. The accepting end sends one byte; the session ticket for a
+/// resumed handshake arrives with it.
 async fn connect(net: &mut Net<()>, address: SocketAddr, tls: Option<Arc<ClientConfig>>) -> (u64, u64) {
     if let Some(config) = tls {
         let name = ServerName::try_from("a.example").unwrap_or_else(|e| panic!("{e}"));
-        net.dial_with_tls(9, name, config, TIME);
+        net.dial_with_tls(9, name, config, TIMEOUT);
     }
-    net.dial(address, 9, TIME);
-    let (mut accepted, mut dialled, mut heard) = (None, None, false);
-    while accepted.is_none() || dialled.is_none() || !heard {
+    net.dial(address, 9, TIMEOUT);
+    let (mut accepted, mut dialled, mut received) = (None, None, false);
+    while accepted.is_none() || dialled.is_none() || !received {
         match net.next(None).await {
             Some(Event::Accepted { conn, .. }) => {
                 net.send(conn, b"x");
                 accepted = Some(conn);
             }
             Some(Event::Dialled { conn, .. }) => dialled = Some(conn),
-            Some(Event::Bytes { .. }) => heard = true,
-            Some(Event::DialFailed { .. } | Event::Closed { .. }) => panic!("it is to come about"),
+            Some(Event::Bytes { .. }) => received = true,
+            Some(Event::DialFailed { .. } | Event::Closed { .. }) => panic!("the connection must succeed"),
             _ => {}
         }
         net.flush();
@@ -67,8 +67,12 @@
     (accepted.unwrap_or(0), dialled.unwrap_or(0))
 }
 
-/// Connections a second, one after another.
-async fn rate(net: &mut Net<()>, address: SocketAddr, config: impl Fn() -> Option<Arc<ClientConfig>>) -> f64 {
+/// Returns the sequential connections per second.
+async fn connections_per_second(
+    net: &mut Net<()>,
+    address: SocketAddr,
+    config: impl Fn() -> Option<Arc<ClientConfig>>,
+) -> f64 {
     let mut best = 0.0_f64;
     for _ in 0..3 {
         let (start, count) = (Instant::now(), 300);
@@ -82,8 +86,8 @@
     best
 }
 
-/// Microseconds for a message of 400 bytes there and back.
-async fn message(net: &mut Net<()>, (accepted, dialled): (u64, u64)) -> f64 {
+/// Returns the round-trip time of a 400-byte message in microseconds.
+async fn round_trip_us(net: &mut Net<()>, (accepted, dialled): (u64, u64)) -> f64 {
     let bytes = [7_u8; 400];
     let mut least = f64::INFINITY;
     for _ in 0..5 {
@@ -107,23 +111,23 @@
     least
 }
 
-fn resident() -> usize {
+fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<usize>().ok()).unwrap_or(0) * 4096
 }
 
-/// Bytes that a connection holds, both ends together.
-async fn held(
+/// Returns the memory per connection in bytes, both ends together.
+async fn memory_per_connection(
     net: &mut Net<()>,
     address: SocketAddr,
     config: impl Fn() -> Option<Arc<ClientConfig>>,
 ) -> usize {
     const COUNT: usize = 200;
-    let before = resident();
+    let before = resident_bytes();
     for _ in 0..COUNT {
         connect(net, address, config()).await;
     }
-    let after = resident();
+    let after = resident_bytes();
     after.saturating_sub(before) / COUNT
 }
 
@@ -131,30 +135,33 @@
     let Ends { server, client } = ends()?;
     lemoncleat_net::run(async |mut net: Net<()>| -> std::io::Result<()> {
         let mut addresses = Vec::new();
-        for tag in [PLAIN, TLS] {
+        for tag in [PLAIN_TAG, TLS_TAG] {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             addresses.push(listener.local_addr()?);
             net.listen(listener, tag)?;
         }
-        net.listen_with_tls(TLS, server, 1_000, TIME);
+        net.listen_with_tls(TLS_TAG, server, 1_000, TIMEOUT);
         let (plain, tls) = (addresses[0], addresses[1]);
-        // Memory first, before the allocator holds anything to use again.
-        let one = client();
-        let shared = || Some(one.clone());
-        let holds = [held(&mut net, plain, || None).await, held(&mut net, tls, shared).await];
-        println!("a connection holds, both ends: plain {} bytes, TLS {} bytes", holds[0], holds[1]);
-        let connects = rate(&mut net, plain, || None).await;
-        let full = rate(&mut net, tls, || Some(client())).await;
-        let resumed = rate(&mut net, tls, shared).await;
+        // Measures memory first, before the allocator has freed blocks to reuse.
+        let shared_client = client();
+        let shared = || Some(shared_client.clone());
+        let memory = [
+            memory_per_connection(&mut net, plain, || None).await,
+            memory_per_connection(&mut net, tls, shared).await,
+        ];
+        println!("memory per connection, both ends: plain {} bytes, TLS {} bytes", memory[0], memory[1]);
+        let connects = connections_per_second(&mut net, plain, || None).await;
+        let full = connections_per_second(&mut net, tls, || Some(client())).await;
+        let resumed = connections_per_second(&mut net, tls, shared).await;
         println!(
-            "connections a second: plain {connects:.0}, full handshake {full:.0}, taken up {resumed:.0}"
+            "connections per second: plain {connects:.0}, full handshake {full:.0}, resumed {resumed:.0}"
         );
         println!("  ratio to plain: {:.3} and {:.3}", full / connects, resumed / connects);
         let pair = connect(&mut net, plain, None).await;
-        let plain = message(&mut net, pair).await;
+        let plain = round_trip_us(&mut net, pair).await;
         let pair = connect(&mut net, tls, shared()).await;
-        let tls = message(&mut net, pair).await;
-        println!("400 bytes there and back: plain {plain:.1} us, TLS {tls:.1} us, ratio {:.2}", tls / plain);
+        let tls = round_trip_us(&mut net, pair).await;
+        println!("round trip of 400 bytes: plain {plain:.1} us, TLS {tls:.1} us, ratio {:.2}", tls / plain);
         Ok(())
     })?;
     Ok(())
--- a/crates/lemoncleat-net/src/lib.rs
+++ b/crates/lemoncleat-net/src/lib.rs
@@ -1,12 +1,12 @@
 //! TCP connections for a single-threaded event loop.
 //!
-//! A [`Net`] accepts, dials, reads and writes, and hands everything that happens to one loop as an
-//! [`Event`], in one bounded queue: when the loop is behind, reading stops and the senders are held back by
-//! TCP. Writing goes straight to the socket; only what does not fit waits in the connection's buffer, which
-//! the loop's owner bounds (it learns with [`Net::flush`] how much was written).
+//! A [`Net`] accepts, dials, reads and writes, and delivers everything that happens to one loop as an
+//! [`Event`] through one bounded queue: when the loop falls behind, reading stops and TCP flow control holds
+//! the senders back. Writes go straight to the socket; only what does not fit is kept in the connection's
+//! write buffer. The owner of the loop bounds that buffer; [`Net::flush`] reports how much was written.
 //!
-//! The same loop drives access nodes, the stand-ins of the laboratory and the bare relay that the node is
-//! measured against.
+//! Access nodes, the simulated peers of the test laboratory and the bare relay that the node is benchmarked
+//! against all run on this loop.
 
 mod tls;
 
@@ -33,25 +33,25 @@
 
 use tls::Session;
 
-/// Events that may wait for the loop before reading stops.
-const QUEUE: usize = 4_096;
-/// Bytes read at once.
-const READ: usize = 64 * 1024;
-/// Bytes that a connection being hung up on may still send before it is closed.
-const DRAIN: usize = 128 << 20;
-/// How long a closed connection may take to write what it still holds.
-const LINGER: Duration = Duration::from_secs(2);
-/// How long a look at all sockets waits for the reactor.
-const LOOK: Duration = Duration::from_millis(1);
-/// Turns that all tasks get before nothing counts as there.
-const TURNS: usize = 4;
-/// Pause after accepting failed, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-
-/// What happened. Connections are named by numbers that are never reused.
+/// Capacity of the event queue; reading stops while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
+/// Size of the shared read buffer.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Bytes that are read and discarded from a lingering connection before it is closed.
+const LINGER_DISCARD_BYTES: usize = 128 << 20;
+/// Time that a closed connection may take to write its remaining bytes.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Length of the timer with which [`Net::look`] waits for a full poll of the reactor.
+const REACTOR_POLL_DELAY: Duration = Duration::from_millis(1);
+/// Times that [`Net::ready`] yields to the tasks before it reports that no event is available.
+const READY_YIELDS: usize = 4;
+/// Pause after a failed `accept`, for example when descriptors have run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+
+/// An event for the loop. Connections are identified by numbers that are never reused.
 #[derive(Debug)]
 pub enum Event<M> {
-    /// Somebody connected to the listener with this tag.
+    /// A connection was accepted on a listener with this tag.
     Accepted {
         /// The listener's tag.
         tag: u64,
@@ -65,47 +65,47 @@
         /// The new connection.
         conn: u64,
     },
-    /// A dial with this tag failed or took too long.
+    /// A dial with this tag failed or timed out.
     DialFailed {
         /// The dial's tag.
         tag: u64,
-        /// The machine answered that nobody listens there.
+        /// The remote host refused the connection: nothing listens on the port.
         refused: bool,
-        /// It was for want of something here, as of descriptors or ports: the other side was not asked.
+        /// A local resource was exhausted (descriptors, ports, memory); the remote host was not contacted.
         local: bool,
     },
-    /// Bytes came.
+    /// Bytes were received.
     Bytes {
-        /// On which connection.
+        /// The connection.
         conn: u64,
-        /// What came.
+        /// The received bytes.
         bytes: Vec<u8>,
     },
-    /// The other side closed, or the connection broke. It is forgotten.
+    /// The remote end closed its side, or the connection failed. The connection is removed.
     Closed {
-        /// Which connection.
+        /// The connection.
         conn: u64,
     },
-    /// A message from outside the loop, by [`Net::sender`].
+    /// A message from outside the loop, sent through [`Net::sender`].
     Message(M),
 }
 
-/// What the tasks tell the loop.
-enum Raw<M> {
-    /// With the places of those who wait for the loop, one of which is free again once it is taken.
+/// What the I/O tasks report to the loop.
+enum TaskEvent<M> {
+    /// An accepted connection, with the slots of its listener; taking the event frees one slot.
     Accepted(u64, Async<TcpStream>, Receiver<()>),
     Dialled(u64, u64, io::Result<Async<TcpStream>>),
-    /// And since when they have waited, at the earliest.
+    /// Received bytes, with the earliest moment at which they can have arrived.
     Bytes(u64, Vec<u8>, Instant),
     Closed(u64),
     Writable(u64),
-    /// A handshake has had its time.
-    Late(u64),
+    /// The time limit of a TLS handshake has passed.
+    HandshakeTimeout(u64),
     Message(M),
 }
 
-/// Sends messages into a loop from anywhere.
-pub struct Mailbox<M>(Sender<Raw<M>>);
+/// A handle that sends messages into a loop from any task or thread.
+pub struct Mailbox<M>(Sender<TaskEvent<M>>);
 
 impl<M> Clone for Mailbox<M> {
     fn clone(&self) -> Self {
@@ -114,26 +114,26 @@
 }
 
 impl<M> Mailbox<M> {
-    /// Sends a message, waiting for room.
+    /// Sends a message, waiting while the queue is full.
     ///
     /// # Errors
     ///
     /// When the loop has ended.
     pub async fn send(&self, message: M) -> Result<(), Ended> {
-        self.0.send(Raw::Message(message)).await.map_err(|_| Ended)
+        self.0.send(TaskEvent::Message(message)).await.map_err(|_| Ended)
     }
 
-    /// Sends a message from a thread that may block.
+    /// Sends a message, blocking the thread while the queue is full.
     ///
     /// # Errors
     ///
     /// When the loop has ended.
     pub fn send_blocking(&self, message: M) -> Result<(), Ended> {
-        self.0.send_blocking(Raw::Message(message)).map_err(|_| Ended)
+        self.0.send_blocking(TaskEvent::Message(message)).map_err(|_| Ended)
     }
 }
 
-/// The loop that a message was for has ended.
+/// The error of sending to a loop that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ended;
 
@@ -147,107 +147,107 @@
 
 struct Conn {
     stream: Arc<Async<TcpStream>>,
-    waiting: Vec<u8>,
-    /// A task waits until the socket takes more.
-    blocked: Option<Task<()>>,
+    write_buffer: Vec<u8>,
+    /// The task that waits until the socket is writable again, while a write is blocked.
+    writable_task: Option<Task<()>>,
     dirty: bool,
-    /// Pieces that were read and wait in the loop's queue.
+    /// Number of received buffers of this connection in the event queue.
     queued: Rc<Cell<usize>>,
-    /// Its end was seen: it stands, or stood, among [`Net::ended`].
+    /// End of input was seen; the connection is or was listed in [`Net::ended`].
     ended: Rc<Cell<bool>>,
-    /// It came to a listener.
+    /// Whether a listener accepted it.
     accepted: bool,
     _reader: Task<()>,
     tls: Option<Box<Session>>,
-    /// Bytes given for it that are in `waiting`, before encryption.
-    plain: usize,
-    /// Parts of `waiting` that may be taken back, in their order.
+    /// Size before encryption of the bytes in `write_buffer`.
+    plaintext: usize,
+    /// Parts of `write_buffer` that may be revoked, in their order.
     revocable: VecDeque<Revocable>,
 }
 
-/// Bytes that wait and may be taken back, because none of them has begun to leave.
+/// Unwritten bytes that may be revoked because none of them has reached the socket.
 struct Revocable {
     name: u64,
     start: usize,
     len: usize,
 }
 
-/// What a TLS connection is, until its handshake is done.
+/// How a TLS connection came about; kept until its handshake is complete.
 #[derive(Clone, Copy)]
 enum Origin {
     Accepted(u64),
     Dialled(u64),
 }
 
-/// TLS of the listeners of a tag.
+/// TLS settings of the listeners with one tag.
 struct ListenerTls {
     config: Arc<ServerConfig>,
-    /// For handshakes that prove a name.
+    /// For handshakes that answer an ACME TLS-ALPN challenge (RFC 8737).
     proof: Option<Arc<ServerConfig>>,
-    most: usize,
-    time: Duration,
+    max_handshakes: usize,
+    timeout: Duration,
 }
 
-/// What a loop may hold.
+/// Resource bounds of a loop.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Events that may wait before reading stops.
+    /// Capacity of the event queue; reading stops while it is full.
     pub queue: usize,
-    /// Bytes read at once; all connections share one buffer of this size.
+    /// Size of the read buffer that all connections share.
     pub read: usize,
-    /// Connections that linger at once, to write what waits and to read and drop what comes, after the loop gave
-    /// them up; further ones are closed without waiting.
+    /// Closed connections that may linger at once to write their remaining bytes and to read and discard
+    /// input; further ones are closed at once.
     pub hung_up: usize,
-    /// Accepted connections of one listener that may wait for the loop; all others stay in the listen queue.
+    /// Accepted connections per listener that may wait in the event queue; others stay in the listen queue.
     pub accepted: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Bounds { queue: QUEUE, read: READ, hung_up: 256, accepted: 64 }
+        Bounds { queue: EVENT_QUEUE_CAPACITY, read: READ_BUFFER_BYTES, hung_up: 256, accepted: 64 }
     }
 }
 
 /// The connections of one loop.
 pub struct Net<M> {
     bounds: Bounds,
-    /// What all readers read into.
+    /// The read buffer that all reader tasks share.
     buffer: Rc<RefCell<Vec<u8>>>,
-    /// Connections that the loop gave up and that still write, or read and drop.
+    /// Tasks of closed connections that still write, or read and discard.
     lingering: Vec<Task<()>>,
-    /// Connections whose far side was seen to end and that the loop was not told of yet.
+    /// Connections whose end of input was seen and not yet returned by [`Net::take_ended`].
     ended: Rc<RefCell<Vec<u64>>>,
-    /// A connection whose [`Event::Closed`] was given last: until the next event it may still be written to.
+    /// The connection of the last [`Event::Closed`]: it may still be written to until the next event.
     closed: Option<u64>,
     executor: Rc<LocalExecutor<'static>>,
-    sender: Sender<Raw<M>>,
-    events: Receiver<Raw<M>>,
+    sender: Sender<TaskEvent<M>>,
+    events: Receiver<TaskEvent<M>>,
     conns: FxHashMap<u64, Conn>,
     dirty: Vec<u64>,
     written: Vec<(u64, usize)>,
     listeners: Vec<Task<()>>,
     dials: HashMap<u64, (u64, Task<()>)>,
     next: u64,
-    /// Events that came of one raw one.
-    ready: VecDeque<Event<M>>,
-    /// How long the loop was last at work without the readers having their turn, and since when it is now.
-    at_work: Rc<Cell<Duration>>,
-    woke: Instant,
-    /// Since when the bytes that were given last have waited, at the earliest.
-    since: Instant,
+    /// Further events that resulted from one task event.
+    pending_events: VecDeque<Event<M>>,
+    /// How long the loop last ran without yielding to the reader tasks, and since when it runs now.
+    busy_time: Rc<Cell<Duration>>,
+    woken_at: Instant,
+    /// The earliest moment at which the bytes of the last event can have arrived.
+    earliest_arrival: Instant,
     listener_tls: HashMap<u64, ListenerTls>,
-    /// Dials that are to speak TLS: with whom, how, and how long the handshake may take.
+    /// Dials that use TLS: expected name, configuration and time limit of the handshake.
     dial_tls: HashMap<u64, (ServerName<'static>, Arc<ClientConfig>, Duration)>,
-    /// Connections whose handshake is not done.
+    /// Connections whose handshake is not complete.
     handshakes: HashMap<u64, Origin>,
 }
 
-/// Runs a loop to its end on the present thread.
+/// Runs a loop on the current thread until it ends.
 pub fn run<M: 'static, T>(body: impl AsyncFnOnce(Net<M>) -> T) -> T {
     run_bounded(Bounds::default(), body)
 }
 
-/// Runs a loop that holds no more than its bounds say.
+/// Runs a loop within the given resource bounds.
 pub fn run_bounded<M: 'static, T>(bounds: Bounds, body: impl AsyncFnOnce(Net<M>) -> T) -> T {
     let executor = Rc::new(LocalExecutor::new());
     let net = Net::new(executor.clone(), bounds);
@@ -272,22 +272,22 @@
             listeners: Vec::new(),
             dials: HashMap::new(),
             next: 0,
-            ready: VecDeque::new(),
-            at_work: Rc::default(),
-            woke: Instant::now(),
-            since: Instant::now(),
+            pending_events: VecDeque::new(),
+            busy_time: Rc::default(),
+            woken_at: Instant::now(),
+            earliest_arrival: Instant::now(),
             listener_tls: HashMap::new(),
             dial_tls: HashMap::new(),
             handshakes: HashMap::new(),
         }
     }
 
-    /// A way to send messages into the loop.
+    /// Returns a handle that sends messages into the loop.
     pub fn sender(&self) -> Mailbox<M> {
         Mailbox(self.sender.clone())
     }
 
-    /// Runs a task beside the loop, on its thread, for as long as the loop lives.
+    /// Runs a task on the loop's thread for as long as the loop lives.
     pub fn spawn(&mut self, task: impl std::future::Future<Output = ()> + 'static) {
         self.listeners.push(self.executor.spawn(task));
     }
@@ -296,102 +296,110 @@
     ///
     /// # Errors
     ///
-    /// When the listener can't be used without blocking.
+    /// When the listener can't be made non-blocking.
     pub fn listen(&mut self, listener: TcpListener, tag: u64) -> io::Result<()> {
         let listener = Async::new(listener)?;
         let sender = self.sender.clone();
-        let (place, places) = async_channel::bounded(self.bounds.accepted.max(1));
+        let (slot_sender, slot_receiver) = async_channel::bounded(self.bounds.accepted.max(1));
         self.spawn(async move {
-            // Whom the loop has not taken holds a descriptor that nobody counts.
-            while place.send(()).await.is_ok() {
+            // Connections that wait in the event queue hold descriptors the owner does not count yet.
+            while slot_sender.send(()).await.is_ok() {
                 let stream = loop {
                     match listener.accept().await {
                         Ok((stream, _)) => break stream,
-                        // That one left while it waited.
+                        // The client left while it was in the listen queue.
                         Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {
                             future::yield_now().await;
                         }
                         Err(_) => {
-                            Timer::after(ACCEPT_PAUSE).await;
+                            Timer::after(ACCEPT_RETRY_DELAY).await;
                         }
                     }
                 };
-                if sender.send(Raw::Accepted(tag, stream, places.clone())).await.is_err() {
+                if sender.send(TaskEvent::Accepted(tag, stream, slot_receiver.clone())).await.is_err() {
                     return;
                 }
-                // A crowd that waits must not keep the readers from their turn.
+                // A full listen queue must not starve the reader tasks.
                 future::yield_now().await;
             }
         });
         Ok(())
     }
 
-    /// Dials; the answer is [`Event::Dialled`] or [`Event::DialFailed`] with the same tag. A dial with the
-    /// tag of one under way replaces it.
+    /// Starts a connection; the result is [`Event::Dialled`] or [`Event::DialFailed`] with the same tag. A
+    /// dial replaces one in progress with the same tag.
     pub fn dial(&mut self, address: SocketAddr, tag: u64, timeout: Duration) {
         let sender = self.sender.clone();
         let id = self.next;
         self.next += 1;
         let task = self.executor.spawn(async move {
-            let late = async {
+            let expired = async {
                 Timer::after(timeout).await;
                 Err(io::ErrorKind::TimedOut.into())
             };
-            let result = Async::<TcpStream>::connect(address).or(late).await;
-            let _ = sender.send(Raw::Dialled(tag, id, result)).await;
+            let result = Async::<TcpStream>::connect(address).or(expired).await;
+            let _ = sender.send(TaskEvent::Dialled(tag, id, result)).await;
         });
         self.dials.insert(tag, (id, task));
     }
 
-    /// Connections accepted under a tag speak TLS from now on, with this configuration; it may be replaced at any
-    /// time, and holds for handshakes that begin then. More than `most` handshakes at once are turned away, and
-    /// one that takes longer than `time` is given up.
-    pub fn listen_with_tls(&mut self, tag: u64, config: Arc<ServerConfig>, most: usize, time: Duration) {
+    /// Uses TLS with this configuration on connections accepted under a tag. The configuration may be
+    /// replaced at any time and applies to handshakes that begin afterwards. Connections beyond
+    /// `max_handshakes` concurrent handshakes are closed, and a handshake that takes longer than `timeout` is
+    /// aborted.
+    pub fn listen_with_tls(
+        &mut self,
+        tag: u64,
+        config: Arc<ServerConfig>,
+        max_handshakes: usize,
+        timeout: Duration,
+    ) {
         let proof = self.listener_tls.remove(&tag).and_then(|tls| tls.proof);
-        self.listener_tls.insert(tag, ListenerTls { config, proof, most, time });
+        self.listener_tls.insert(tag, ListenerTls { config, proof, max_handshakes, timeout });
     }
 
-    /// Handshakes of a certificate authority that wants a name proven (RFC 8737) are answered with this on a tag's
-    /// listeners, and their connections closed; without it they get what all others do.
+    /// Answers the TLS-ALPN challenge handshakes of a certificate authority (RFC 8737) with this
+    /// configuration on the listeners of a tag and closes their connections; without one they are served like
+    /// all others.
     pub fn prove_with_tls(&mut self, tag: u64, proof: Option<Arc<ServerConfig>>) {
         if let Some(tls) = self.listener_tls.get_mut(&tag) {
             tls.proof = proof;
         }
     }
 
-    /// The next dial with this tag speaks TLS and expects a certificate for this name.
+    /// Makes the next dial with this tag use TLS and require a certificate for this name.
     pub fn dial_with_tls(
         &mut self,
         tag: u64,
         name: ServerName<'static>,
         config: Arc<ClientConfig>,
-        time: Duration,
+        timeout: Duration,
     ) {
-        self.dial_tls.insert(tag, (name, config, time));
+        self.dial_tls.insert(tag, (name, config, timeout));
     }
 
-    /// The names in the certificate that the other end of a connection showed; `None` without TLS.
+    /// Returns the names in the peer's certificate on a connection; `None` without TLS.
     pub fn peer_names(&self, conn: u64) -> Option<Vec<String>> {
         Some(self.conns.get(&conn)?.tls.as_ref()?.peer_names())
     }
 
-    /// The certificate (DER) that the other end of a connection showed; `None` without TLS.
+    /// Returns the peer's certificate (DER) on a connection; `None` without TLS.
     pub fn peer_certificate(&self, conn: u64) -> Option<Vec<u8>> {
         self.conns.get(&conn)?.tls.as_ref()?.peer_certificate()
     }
 
-    /// Whether a connection's handshake took up an earlier one's secrets; then no certificate was shown in it.
+    /// Reports whether the handshake resumed an earlier session; then no certificate was sent in it.
     pub fn is_resumed(&self, conn: u64) -> bool {
         self.conns.get(&conn).and_then(|conn| conn.tls.as_ref()).is_some_and(|tls| tls.is_resumed())
     }
 
-    /// Gives up the dial with this tag, if one is under way.
+    /// Cancels the dial with this tag, if one is in progress.
     pub fn stop_dial(&mut self, tag: u64) {
         self.dials.remove(&tag);
         self.dial_tls.remove(&tag);
     }
 
-    fn add(&mut self, stream: Async<TcpStream>, tls: Option<Session>, accepted: bool) -> u64 {
+    fn add_connection(&mut self, stream: Async<TcpStream>, tls: Option<Session>, accepted: bool) -> u64 {
         let id = self.next;
         self.next += 1;
         let _ = stream.get_ref().set_nodelay(true);
@@ -399,14 +407,13 @@
         let (reading, sender) = (stream.clone(), self.sender.clone());
         let buffer = self.buffer.clone();
         let queued = Rc::new(Cell::new(0));
-        let (count, at_work) = (queued.clone(), self.at_work.clone());
+        let (count, busy_time) = (queued.clone(), self.busy_time.clone());
         let (ended, all_ended) = (Rc::new(Cell::new(false)), self.ended.clone());
         let seen = ended.clone();
         let reader = self.executor.spawn(async move {
-            let mut held_up = Duration::ZERO;
+            let mut queue_wait = Duration::ZERO;
             loop {
-                // The loop below reads only when the reactor says so, or at once if something is there. Nothing is
-                // held of the shared buffer across a wait.
+                // The closure runs when input is available. The shared buffer is not borrowed across a wait.
                 let read = reading.read_with(|mut socket| {
                     let mut buffer = buffer.borrow_mut();
                     let count = socket.read(&mut buffer)?;
@@ -414,49 +421,49 @@
                 });
                 let read = read.await;
                 let now = Instant::now();
-                // It came while the loop was at work, or while this reader waited for room in the queue.
-                let since = now.checked_sub(held_up.max(at_work.get())).unwrap_or(now);
-                let raw = match read {
-                    Ok(bytes) if !bytes.is_empty() => Raw::Bytes(id, bytes, since),
-                    _ => Raw::Closed(id),
+                // The bytes may have arrived while the loop was busy or this reader waited for queue space.
+                let earliest_arrival = now.checked_sub(queue_wait.max(busy_time.get())).unwrap_or(now);
+                let task_event = match read {
+                    Ok(bytes) if !bytes.is_empty() => TaskEvent::Bytes(id, bytes, earliest_arrival),
+                    _ => TaskEvent::Closed(id),
                 };
-                let last = matches!(raw, Raw::Closed(_));
+                let last = matches!(task_event, TaskEvent::Closed(_));
                 if last && !seen.replace(true) {
-                    // What it sent before may wait long for the loop.
+                    // Reported apart from the queue, where earlier bytes may delay the close event.
                     all_ended.borrow_mut().push(id);
                 }
                 count.set(count.get() + usize::from(!last));
-                if sender.send(raw).await.is_err() || last {
+                if sender.send(task_event).await.is_err() || last {
                     return;
                 }
-                held_up = now.elapsed();
+                queue_wait = now.elapsed();
             }
         });
         let conn = Conn {
             stream,
-            waiting: Vec::new(),
-            blocked: None,
+            write_buffer: Vec::new(),
+            writable_task: None,
             dirty: false,
             queued,
             ended,
             accepted,
             _reader: reader,
             tls: tls.map(Box::new),
-            plain: 0,
+            plaintext: 0,
             revocable: VecDeque::new(),
         };
         self.conns.insert(id, conn);
         id
     }
 
-    /// Gives bytes to a connection; they leave at the next [`Net::flush`].
+    /// Queues bytes on a connection; they are written at the next [`Net::flush`].
     pub fn send(&mut self, conn: u64, bytes: &[u8]) {
         if let Some(state) = self.conns.get_mut(&conn) {
             match &mut state.tls {
-                Some(tls) => tls.encrypt(bytes, &mut state.waiting),
-                None => state.waiting.extend_from_slice(bytes),
+                Some(tls) => tls.encrypt(bytes, &mut state.write_buffer),
+                None => state.write_buffer.extend_from_slice(bytes),
             }
-            state.plain += bytes.len();
+            state.plaintext += bytes.len();
             if !state.dirty {
                 state.dirty = true;
                 self.dirty.push(conn);
@@ -464,31 +471,31 @@
         }
     }
 
-    /// The same with bytes that [`Net::take_back`] may take back under a name, for as long as none of them has
-    /// begun to leave. Not on TLS connections: there a record can't be left out.
+    /// Queues bytes that [`Net::take_back`] can revoke under a name as long as none of them has been written.
+    /// On TLS connections they can't be revoked, since an encrypted record can't be left out.
     pub fn send_revocable(&mut self, conn: u64, name: u64, bytes: &[u8]) {
         if let Some(state) = self.conns.get_mut(&conn).filter(|state| state.tls.is_none()) {
-            state.revocable.push_back(Revocable { name, start: state.waiting.len(), len: bytes.len() });
+            state.revocable.push_back(Revocable { name, start: state.write_buffer.len(), len: bytes.len() });
         }
         self.send(conn, bytes);
     }
 
-    /// Takes the last bytes back that were given to a connection under a name. False, and nothing is changed, if
-    /// there are none or some of them have left.
+    /// Revokes the bytes last queued on a connection under a name. Returns false and changes nothing if there
+    /// are none or some of them have been written.
     pub fn take_back(&mut self, conn: u64, name: u64) -> bool {
         let Some(state) = self.conns.get_mut(&conn) else { return false };
         let Some(at) = state.revocable.iter().rposition(|part| part.name == name) else { return false };
-        let Some(gone) = state.revocable.remove(at) else { return false };
-        state.waiting.drain(gone.start..gone.start + gone.len);
-        state.plain -= gone.len;
+        let Some(removed) = state.revocable.remove(at) else { return false };
+        state.write_buffer.drain(removed.start..removed.start + removed.len);
+        state.plaintext -= removed.len;
         for later in state.revocable.range_mut(at..) {
-            later.start -= gone.len;
+            later.start -= removed.len;
         }
         true
     }
 
-    /// Writes what was given since the last time, as far as the sockets take it. Returns how many bytes of
-    /// which connection were written, now or since.
+    /// Writes the bytes queued since the last call, as far as the sockets accept them. Returns how many bytes
+    /// were written per connection since the last call.
     pub fn flush(&mut self) -> Vec<(u64, usize)> {
         for id in std::mem::take(&mut self.dirty) {
             self.write(id);
@@ -499,74 +506,75 @@
     fn write(&mut self, id: u64) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         conn.dirty = false;
-        if conn.blocked.is_some() || conn.waiting.is_empty() {
+        if conn.writable_task.is_some() || conn.write_buffer.is_empty() {
             return;
         }
         let mut socket = conn.stream.get_ref();
         let mut done = 0;
         let blocked = loop {
-            match socket.write(&conn.waiting[done..]) {
+            match socket.write(&conn.write_buffer[done..]) {
                 Ok(count) => {
                     done += count;
-                    if done == conn.waiting.len() || count == 0 {
+                    if done == conn.write_buffer.len() || count == 0 {
                         break false;
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break true,
-                // The reader meets the same failure and tells of it.
+                // The reader task gets the same error and reports it.
                 Err(_) => {
-                    done = conn.waiting.len();
+                    done = conn.write_buffer.len();
                     break false;
                 }
             }
         };
-        conn.waiting.drain(..done);
+        conn.write_buffer.drain(..done);
         conn.revocable.retain_mut(|part| {
             let waits = part.start >= done;
             part.start = part.start.saturating_sub(done);
             waits
         });
-        if conn.waiting.is_empty() && conn.waiting.capacity() > READ {
-            conn.waiting = Vec::new();
+        if conn.write_buffer.is_empty() && conn.write_buffer.capacity() > READ_BUFFER_BYTES {
+            conn.write_buffer = Vec::new();
         }
-        // What was given is counted, not what it became on the wire.
-        let plain = if conn.waiting.is_empty() { conn.plain } else { done.min(conn.plain) };
-        conn.plain -= plain;
-        if plain > 0 {
-            self.written.push((id, plain));
+        // Counts plaintext bytes, not their encrypted size.
+        let plaintext = if conn.write_buffer.is_empty() { conn.plaintext } else { done.min(conn.plaintext) };
+        conn.plaintext -= plaintext;
+        if plaintext > 0 {
+            self.written.push((id, plaintext));
         }
         if blocked {
             let (stream, sender) = (conn.stream.clone(), self.sender.clone());
-            conn.blocked = Some(self.executor.spawn(async move {
+            conn.writable_task = Some(self.executor.spawn(async move {
                 let _ = stream.writable().await;
-                let _ = sender.send(Raw::Writable(id)).await;
+                let _ = sender.send(TaskEvent::Writable(id)).await;
             }));
         }
     }
 
-    /// Closes a connection after what was given for it is written, or two seconds have passed. It is not
-    /// heard of again.
+    /// Closes a connection once its queued bytes are written, or after two seconds. No further events are
+    /// reported for it.
     pub fn close(&mut self, conn: u64) {
         if let Some(state) = self.conns.get_mut(&conn) {
             if let Some(tls) = &mut state.tls {
-                tls.close(&mut state.waiting);
+                tls.close(&mut state.write_buffer);
             }
         }
         self.write(conn);
         self.handshakes.remove(&conn);
         let Some(state) = self.forget(conn) else { return };
-        // Closing with input unread resets, and a reset can overtake what the other side has not got yet.
+        // Closing with unread input sends a reset, which can discard bytes the peer has not read yet.
         let unread = matches!(state.stream.get_ref().peek(&mut [0]), Ok(count) if count > 0);
-        if state.waiting.is_empty() && !unread {
+        if state.write_buffer.is_empty() && !unread {
             let _ = state.stream.get_ref().shutdown(Shutdown::Both);
             return;
         }
         self.linger(state);
     }
 
-    /// Closes a connection so that what was given for it is read, although the other side may go on sending:
-    /// writes, ends the own half, and reads and drops what comes for a bounded while. It is not heard of again.
+    /// Closes a connection so that the peer can read the queued bytes although it may go on sending: writes,
+    /// shuts down the sending side, then reads and discards input for a bounded time. No further events are
+    /// reported for it.
     pub fn hang_up(&mut self, conn: u64) {
         if self.conns.get(&conn).is_none_or(|state| state.tls.is_some()) {
             return self.close(conn);
@@ -577,27 +585,28 @@
         }
     }
 
-    /// Lets a connection write and drop for a bounded while, if not too many do already.
+    /// Lets a closed connection write and discard input for a bounded time, within the bound on such
+    /// connections.
     fn linger(&mut self, state: Conn) {
         self.lingering.retain(|task| !task.is_finished());
         if self.lingering.len() >= self.bounds.hung_up {
             let _ = state.stream.get_ref().shutdown(Shutdown::Both);
             return;
         }
-        let task = self.leave(state, LINGER, LINGER);
+        let task = self.finish(state, LINGER_TIMEOUT, LINGER_TIMEOUT);
         self.lingering.push(task);
     }
 
-    /// Writes what waits for a connection for at most the first time and ends the own half; reads and drops what
-    /// comes meanwhile, and for at most the second time after it, until the other side ends its half too.
-    fn leave(&self, state: Conn, write: Duration, drop: Duration) -> Task<()> {
-        let (stream, waiting) = (state.stream, state.waiting);
+    /// Writes the remaining bytes for at most `write` and shuts down the sending side. Input is read and
+    /// discarded meanwhile, and for at most `drain_time` afterwards, until the peer shuts down its side too.
+    fn finish(&self, state: Conn, write: Duration, drain_time: Duration) -> Task<()> {
+        let (stream, write_buffer) = (state.stream, state.write_buffer);
         let buffer = self.buffer.clone();
         self.executor.spawn(async move {
             let written = async {
                 let mut done = 0;
-                while done < waiting.len() {
-                    match stream.write_with(|mut socket| socket.write(&waiting[done..])).await {
+                while done < write_buffer.len() {
+                    match stream.write_with(|mut socket| socket.write(&write_buffer[done..])).await {
                         Ok(count) if count > 0 => done += count,
                         _ => return,
                     }
@@ -605,39 +614,39 @@
             };
             let read = async {
                 let mut dropped = 0;
-                while dropped < DRAIN {
+                while dropped < LINGER_DISCARD_BYTES {
                     match stream.read_with(|mut socket| socket.read(&mut buffer.borrow_mut())).await {
                         Ok(count) if count > 0 => dropped += count,
                         _ => return,
                     }
-                    // Whoever sends at full speed must not keep the others from their turn.
+                    // A peer that sends at full speed must not starve other tasks.
                     future::yield_now().await;
                 }
             };
             let mut read = pin!(read);
-            // The other side's end is no reason to stop writing: it may still read.
-            let over = Cell::new(false);
-            let beside = async {
+            // End of input does not stop the writing: the peer may still read.
+            let read_done = Cell::new(false);
+            let reading = async {
                 read.as_mut().await;
-                over.set(true);
+                read_done.set(true);
                 future::pending().await
             };
-            written.or(after(write)).or(beside).await;
+            written.or(sleep(write)).or(reading).await;
             let _ = stream.get_ref().shutdown(Shutdown::Write);
-            if !over.get() {
-                read.or(after(drop)).await;
+            if !read_done.get() {
+                read.or(sleep(drain_time)).await;
             }
         })
     }
 
-    /// Closes a connection at once with a reset, as a process that was killed would.
+    /// Closes a connection at once without writing its queued bytes, as a killed process would.
     pub fn abort(&mut self, conn: u64) {
         if let Some(state) = self.forget(conn) {
             let _ = state.stream.get_ref().shutdown(Shutdown::Both);
         }
     }
 
-    /// A connection is no longer the loop's.
+    /// Removes a connection from the loop.
     fn forget(&mut self, conn: u64) -> Option<Conn> {
         let state = self.conns.remove(&conn)?;
         if state.ended.get() {
@@ -646,43 +655,44 @@
         Some(state)
     }
 
-    /// The connection of which [`Event::Closed`] was given last: its other side may have ended only its own half,
-    /// and still read what was given for it since.
+    /// Removes the connection of the last [`Event::Closed`]. The peer may have shut down only its sending
+    /// side and still read what was queued since.
     fn forget_closed(&mut self) {
         let Some(conn) = self.closed.take() else { return };
         self.write(conn);
         if let Some(state) = self.forget(conn) {
-            if !state.waiting.is_empty() {
+            if !state.write_buffer.is_empty() {
                 self.linger(state);
             }
         }
     }
 
-    /// Connections whose other side was seen to end its half, or that broke, since the last time this was asked:
-    /// each once, before its [`Event::Closed`]. Bytes that it sent before may still come. Whoever asks does so
-    /// before each event and each timer, so that nothing is begun for whom the system knows to have left.
+    /// Returns the connections whose peer shut down its sending side, or that failed, since the last call:
+    /// each once, before its [`Event::Closed`]. Bytes sent earlier may still follow. Call it before each
+    /// event and each timer, so that no work is started for a peer that the system knows to have left.
     pub fn take_ended(&mut self) -> Vec<u64> {
         std::mem::take(&mut *self.ended.borrow_mut())
     }
 
-    /// Ends all connections, in order: what was given for them is written for at most the first time and the own
-    /// half ended; of those that were accepted, what comes is read and dropped meanwhile, and for at most the second
-    /// time after it, until the other side ends its half too. A reset that overtakes what was written is thereby
-    /// kept from whoever reads. Nothing is listened to, dialled or told of any more.
-    pub async fn end(&mut self, write: Duration, drop: Duration) {
+    /// Shuts down all connections in an orderly way: queued bytes are written for at most `write` and the
+    /// sending side is shut down. Input of accepted connections is read and discarded meanwhile, and for at
+    /// most `drain` afterwards, until the peer shuts down its side too; otherwise a reset could discard
+    /// written bytes before the peer reads them. Listeners and dials are stopped, and no further events are
+    /// reported.
+    pub async fn end(&mut self, write: Duration, drain_time: Duration) {
         self.listeners.clear();
         self.dials.clear();
         for state in self.conns.values_mut() {
             if let Some(tls) = &mut state.tls {
-                tls.close(&mut state.waiting);
+                tls.close(&mut state.write_buffer);
             }
         }
         self.flush();
         let states: Vec<Conn> = self.conns.drain().map(|(_, state)| state).collect();
         for state in states {
-            if state.accepted || !state.waiting.is_empty() {
-                let drop = if state.accepted { drop } else { Duration::ZERO };
-                let task = self.leave(state, write, drop);
+            if state.accepted || !state.write_buffer.is_empty() {
+                let drain_time = if state.accepted { drain_time } else { Duration::ZERO };
+                let task = self.finish(state, write, drain_time);
                 self.lingering.push(task);
             }
         }
@@ -691,35 +701,41 @@
         }
     }
 
-    /// Whether bytes wait on a connection that the loop was not given yet.
+    /// Reports whether a connection has input that was not yet delivered to the loop.
     pub fn has_input(&self, conn: u64) -> bool {
         let Some(state) = self.conns.get(&conn) else { return false };
         state.queued.get() > 0 || matches!(state.stream.get_ref().peek(&mut [0]), Ok(count) if count > 0)
     }
 
-    /// How many bytes wait to be written on a connection.
+    /// Returns how many bytes on a connection are queued and not yet written.
     pub fn waiting(&self, conn: u64) -> usize {
-        self.conns.get(&conn).map_or(0, |conn| conn.waiting.len())
+        self.conns.get(&conn).map_or(0, |conn| conn.write_buffer.len())
     }
 
-    fn handshake(&mut self, stream: Async<TcpStream>, session: Session, origin: Origin, time: Duration) {
-        let conn = self.add(stream, Some(session), matches!(origin, Origin::Accepted(_)));
+    fn begin_handshake(
+        &mut self,
+        stream: Async<TcpStream>,
+        session: Session,
+        origin: Origin,
+        timeout: Duration,
+    ) {
+        let conn = self.add_connection(stream, Some(session), matches!(origin, Origin::Accepted(_)));
         self.handshakes.insert(conn, origin);
         let sender = self.sender.clone();
         self.executor
             .spawn(async move {
-                Timer::after(time).await;
-                let _ = sender.send(Raw::Late(conn)).await;
+                Timer::after(timeout).await;
+                let _ = sender.send(TaskEvent::HandshakeTimeout(conn)).await;
             })
             .detach();
         self.flush_tls(conn);
     }
 
-    /// What the session has to say goes out at once.
+    /// Writes the pending output of the TLS session at once.
     fn flush_tls(&mut self, conn: u64) {
         if let Some(state) = self.conns.get_mut(&conn) {
             if let Some(tls) = &mut state.tls {
-                tls.take_output(&mut state.waiting);
+                tls.take_output(&mut state.write_buffer);
             }
         }
         self.write(conn);
@@ -734,7 +750,8 @@
         }
     }
 
-    /// Bytes of a TLS connection: the handshake goes on, or what they hold is told.
+    /// Processes bytes of a TLS connection: advances the handshake, or returns the decrypted bytes as an
+    /// event.
     fn decrypt(&mut self, conn: u64, bytes: &[u8]) -> Option<Event<M>> {
         let state = self.conns.get_mut(&conn)?;
         let tls = state.tls.as_mut()?;
@@ -743,24 +760,24 @@
         let proof = tls.is_proof();
         self.flush_tls(conn);
         if open && proof {
-            // The handshake was all that was wanted.
+            // A challenge consists of the handshake alone.
             self.close(conn);
             return None;
         }
         match result {
-            Ok(plain) => {
+            Ok(plaintext) => {
                 if open {
                     if let Some(origin) = self.handshakes.remove(&conn) {
-                        self.ready.push_back(match origin {
+                        self.pending_events.push_back(match origin {
                             Origin::Accepted(tag) => Event::Accepted { tag, conn },
                             Origin::Dialled(tag) => Event::Dialled { tag, conn },
                         });
                     }
                 }
-                if !plain.is_empty() {
-                    self.ready.push_back(Event::Bytes { conn, bytes: plain });
+                if !plaintext.is_empty() {
+                    self.pending_events.push_back(Event::Bytes { conn, bytes: plaintext });
                 }
-                self.ready.pop_front()
+                self.pending_events.pop_front()
             }
             Err(_) if self.handshakes.contains_key(&conn) => self.handshake_failed(conn),
             Err(_) => {
@@ -770,41 +787,45 @@
         }
     }
 
-    fn event(&mut self, raw: Raw<M>) -> Option<Event<M>> {
+    fn handle_task_event(&mut self, task_event: TaskEvent<M>) -> Option<Event<M>> {
         self.forget_closed();
-        Some(match raw {
-            Raw::Accepted(tag, stream, places) => {
-                let _ = places.try_recv();
+        Some(match task_event {
+            TaskEvent::Accepted(tag, stream, slot_receiver) => {
+                let _ = slot_receiver.try_recv();
                 let Some(tls) = self.listener_tls.get(&tag) else {
-                    return Some(Event::Accepted { tag, conn: self.add(stream, None, true) });
+                    return Some(Event::Accepted { tag, conn: self.add_connection(stream, None, true) });
                 };
-                if self.handshakes.len() >= tls.most {
+                if self.handshakes.len() >= tls.max_handshakes {
                     return None;
                 }
-                let (session, time) = (Session::server(tls.config.clone(), tls.proof.clone()), tls.time);
-                self.handshake(stream, session, Origin::Accepted(tag), time);
+                let (session, timeout) =
+                    (Session::server(tls.config.clone(), tls.proof.clone()), tls.timeout);
+                self.begin_handshake(stream, session, Origin::Accepted(tag), timeout);
                 return None;
             }
-            Raw::Late(conn) => {
+            TaskEvent::HandshakeTimeout(conn) => {
                 if !self.handshakes.contains_key(&conn) {
                     return None;
                 }
                 return self.handshake_failed(conn);
             }
-            Raw::Dialled(tag, id, result) => {
+            TaskEvent::Dialled(tag, id, result) => {
                 if self.dials.get(&tag).is_none_or(|(current, _)| *current != id) {
                     return None;
                 }
                 self.dials.remove(&tag);
                 match result {
                     Ok(stream) => {
-                        let Some((name, config, time)) = self.dial_tls.remove(&tag) else {
-                            return Some(Event::Dialled { tag, conn: self.add(stream, None, false) });
+                        let Some((name, config, timeout)) = self.dial_tls.remove(&tag) else {
+                            return Some(Event::Dialled {
+                                tag,
+                                conn: self.add_connection(stream, None, false),
+                            });
                         };
                         let Ok(session) = Session::client(config, name) else {
                             return Some(Event::DialFailed { tag, refused: false, local: false });
                         };
-                        self.handshake(stream, session, Origin::Dialled(tag), time);
+                        self.begin_handshake(stream, session, Origin::Dialled(tag), timeout);
                         return None;
                     }
                     Err(error) => {
@@ -813,11 +834,11 @@
                     }
                 }
             }
-            Raw::Bytes(conn, bytes, since) => {
-                self.since = since;
+            TaskEvent::Bytes(conn, bytes, earliest_arrival) => {
+                self.earliest_arrival = earliest_arrival;
                 let state = self.conns.get(&conn)?;
                 state.queued.set(state.queued.get().saturating_sub(1));
-                // Its end may have come while this piece waited.
+                // End of input may have arrived while these bytes were queued.
                 if !state.ended.get() && has_ended(state.stream.get_ref()) {
                     state.ended.set(true);
                     self.ended.borrow_mut().push(conn);
@@ -827,7 +848,7 @@
                 }
                 Event::Bytes { conn, bytes }
             }
-            Raw::Closed(conn) => {
+            TaskEvent::Closed(conn) => {
                 if self.handshakes.contains_key(&conn) {
                     return self.handshake_failed(conn);
                 }
@@ -835,39 +856,40 @@
                 self.closed = Some(conn);
                 Event::Closed { conn }
             }
-            Raw::Writable(conn) => {
+            TaskEvent::Writable(conn) => {
                 if let Some(state) = self.conns.get_mut(&conn) {
-                    state.blocked = None;
+                    state.writable_task = None;
                 }
                 self.write(conn);
                 return None;
             }
-            Raw::Message(message) => Event::Message(message),
+            TaskEvent::Message(message) => Event::Message(message),
         })
     }
 
-    /// Since when the bytes that were given last have waited to be read and taken, at the earliest. While the loop
-    /// keeps up that is a moment ago; bytes that came during a long turn count from its beginning.
+    /// Returns the earliest moment at which the bytes of the last event can have arrived. While the loop
+    /// keeps up that is just before they were read; bytes that arrived while the loop was busy count from the
+    /// time at which it became busy.
     pub fn waited_since(&self) -> Instant {
-        self.since
+        self.earliest_arrival
     }
 
-    /// The next event; `None` when the moment has come first, or when only writing went on.
+    /// Returns the next event; `None` once `until` has passed, or when a task event led to no event.
     pub async fn next(&mut self, until: Option<Instant>) -> Option<Event<M>> {
         self.forget_closed();
-        if let Some(event) = self.ready.pop_front() {
+        if let Some(event) = self.pending_events.pop_front() {
             return Some(event);
         }
         let behind = until.is_some_and(|until| until <= Instant::now());
-        // Otherwise what waits is given at once, and the loop goes on without its readers.
-        let turn = behind || self.events.is_empty();
-        if turn {
-            self.at_work.set(self.woke.elapsed());
+        // Otherwise a queued event is returned at once, without yielding to the reader tasks.
+        let yields = behind || self.events.is_empty();
+        if yields {
+            self.busy_time.set(self.woken_at.elapsed());
         }
-        let raw = match until {
+        let task_event = match until {
             _ if behind => {
-                // A loop that is behind must not keep its own readers from their turn: a turn for those that are
-                // due, and one for those that the look at the sockets between the two finds due.
+                // A loop that is behind must not starve its readers: the first yield runs those that are
+                // ready, the second those that the reactor's poll in between finds ready.
                 future::yield_now().await;
                 future::yield_now().await;
                 self.events.try_recv().ok()
@@ -875,7 +897,7 @@
             Some(until) => {
                 let timer = async {
                     Timer::at(until).await;
-                    // Readers that the same look at the sockets found due come first.
+                    // Readers that the same reactor poll found ready run first.
                     future::yield_now().await;
                     self.events.try_recv().ok()
                 };
@@ -883,23 +905,23 @@
             }
             None => self.events.recv().await.ok(),
         };
-        if turn {
-            self.woke = Instant::now();
+        if yields {
+            self.woken_at = Instant::now();
         }
-        self.event(raw?)
+        self.handle_task_event(task_event?)
     }
 
-    /// Looks at every socket afresh: once this returns, tasks whose sockets had something when it was called are
-    /// due, and [`Net::ready`] gives what they read.
+    /// Polls every socket: once this returns, the tasks whose sockets were ready at the call are runnable,
+    /// and [`Net::ready`] returns what they read.
     pub async fn look(&mut self) {
-        // A timer fires from a turn of the reactor that begins after its moment, and that turn looks at all
-        // sockets before it wakes anybody.
-        Timer::after(LOOK).await;
+        // A timer fires in a reactor turn that begins after its expiry, and that turn polls all sockets
+        // before it wakes any task.
+        Timer::after(REACTOR_POLL_DELAY).await;
     }
 
-    /// An event that is there, with a turn for every task that is due before the answer is no.
+    /// Returns an available event; lets every runnable task run before it returns `None`.
     pub async fn ready(&mut self) -> Option<Event<M>> {
-        for _ in 0..TURNS {
+        for _ in 0..READY_YIELDS {
             if let Some(event) = self.try_next() {
                 return Some(event);
             }
@@ -908,14 +930,14 @@
         self.try_next()
     }
 
-    /// An event that is there already.
+    /// Returns an event that is already queued.
     pub fn try_next(&mut self) -> Option<Event<M>> {
         self.forget_closed();
-        if let Some(event) = self.ready.pop_front() {
+        if let Some(event) = self.pending_events.pop_front() {
             return Some(event);
         }
-        while let Ok(raw) = self.events.try_recv() {
-            if let Some(event) = self.event(raw) {
+        while let Ok(task_event) = self.events.try_recv() {
+            if let Some(event) = self.handle_task_event(task_event) {
                 return Some(event);
             }
         }
@@ -923,14 +945,14 @@
     }
 }
 
-/// Whether a dial failed for want of something on this side.
+/// Reports whether a dial failed because a local resource was exhausted.
 fn is_local(error: &io::Error) -> bool {
     use rustix::io::Errno;
-    let wants = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS, Errno::NOMEM];
-    error.raw_os_error().is_some_and(|code| wants.iter().any(|want| want.raw_os_error() == code))
+    let errnos = [Errno::MFILE, Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS, Errno::NOMEM];
+    error.raw_os_error().is_some_and(|code| errnos.iter().any(|errno| errno.raw_os_error() == code))
 }
 
-/// Whether the other side has ended its half and nothing lies unread before that, or the connection broke.
+/// Reports whether the peer shut down its sending side with no input left to read, or the connection failed.
 fn has_ended(socket: &TcpStream) -> bool {
     match socket.peek(&mut [0]) {
         Ok(count) => count == 0,
@@ -938,6 +960,6 @@
     }
 }
 
-async fn after(time: Duration) {
-    Timer::after(time).await;
+async fn sleep(timeout: Duration) {
+    Timer::after(timeout).await;
 }
--- a/crates/lemoncleat-net/tests/descriptors.rs
+++ b/crates/lemoncleat-net/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! A process without a descriptor left. Alone in its file: the limit is the whole process's.
+//! Dialling when the process has no file descriptor left. The only test in its file, since the limit applies
+//! to the whole process.
 
 use std::fs::File;
 use std::net::TcpListener;
@@ -8,11 +9,11 @@
 use rustix::process::{setrlimit, Resource, Rlimit};
 
 #[test]
-fn a_dial_without_a_descriptor_is_told_as_failed_here_and_comes_about_once_there_is_one() {
+fn dial_fails_as_local_without_descriptors_and_succeeds_once_one_is_free() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("an address");
     let address = listener.local_addr().expect("it has one");
     run(async move |mut net: Net<()>| {
-        // What the loop itself needs is open by now.
+        // The loop has opened its own descriptors by now.
         net.look().await;
         let limit = Rlimit { current: Some(64), maximum: Some(64) };
         setrlimit(Resource::Nofile, limit).expect("a limit may be lowered");
@@ -21,19 +22,22 @@
             held.push(file);
         }
         net.dial(address, 1, Duration::from_secs(20));
-        let told = net.next(None).await;
-        assert!(matches!(told, Some(Event::DialFailed { tag: 1, refused: false, local: true })), "{told:?}");
+        let event = net.next(None).await;
+        assert!(
+            matches!(event, Some(Event::DialFailed { tag: 1, refused: false, local: true })),
+            "{event:?}"
+        );
         held.pop();
         net.dial(address, 2, Duration::from_secs(20));
-        let told = net.next(None).await;
-        assert!(matches!(told, Some(Event::Dialled { tag: 2, .. })), "{told:?}");
+        let event = net.next(None).await;
+        assert!(matches!(event, Some(Event::Dialled { tag: 2, .. })), "{event:?}");
         drop(listener);
         held.pop();
         net.dial(address, 3, Duration::from_secs(20));
         loop {
             match net.next(None).await {
                 Some(Event::DialFailed { tag: 3, refused: true, local: false }) => return,
-                // The listener's end resets the connection that was made.
+                // Dropping the listener resets the earlier connection.
                 Some(Event::Closed { .. }) | None => {}
                 other => panic!("a refusal, not {other:?}"),
             }
--- a/crates/lemoncleat-net/tests/ends.rs
+++ b/crates/lemoncleat-net/tests/ends.rs
@@ -1,5 +1,5 @@
-//! What is still owed when a connection, a listener or the whole loop ends, with real connections whose order the
-//! test forces: everything that a far side does here it has done before the loop gets its turn.
+//! Delivery of pending bytes and events when a connection, a listener or the whole loop ends, on real
+//! sockets. The order is deterministic: each action of a peer is complete before the loop runs again.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,9 +8,9 @@
 
 use lemoncleat_net::{run_bounded, Bounds, Event, Net};
 
-/// Long enough for anything that comes at all.
-const LONG: Duration = Duration::from_secs(60);
-const SMALL: Bounds = Bounds { queue: 4, read: 1_024, hung_up: 4, accepted: 16 };
+/// Longer than any of the tests takes.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+const SMALL_BOUNDS: Bounds = Bounds { queue: 4, read: 1_024, hung_up: 4, accepted: 16 };
 
 fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -18,14 +18,14 @@
     (listener, address)
 }
 
-fn far(address: SocketAddr) -> TcpStream {
+fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
     stream
 }
 
-/// All that comes to the end, if that is in order.
-fn all(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
+/// Reads to the end of input; fails if the connection was reset.
+fn read_to_end(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     stream.read_to_end(&mut bytes).map(|_| bytes)
 }
@@ -46,37 +46,37 @@
 }
 
 #[test]
-fn an_end_is_told_before_the_bytes_that_came_before_it() {
+fn end_of_input_is_reported_before_the_queued_close_event() {
     let (listener, address) = listener();
-    let mut far = far(address);
-    far.write_all(b"INVITE").expect("written");
-    far.shutdown(Shutdown::Write).expect("its half ends");
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let mut peer = connect(address);
+    peer.write_all(b"INVITE").expect("written");
+    peer.shutdown(Shutdown::Write).expect("its half ends");
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         assert!(matches!(next(&mut net).await, Event::Bytes { bytes, .. } if bytes == b"INVITE"));
-        // Given, and not yet handled.
+        // The bytes were returned as an event; the close event is still queued.
         assert_eq!(net.take_ended(), [conn]);
         assert!(matches!(next(&mut net).await, Event::Closed { .. }));
-        assert_eq!(net.take_ended(), [], "it is told once");
+        assert_eq!(net.take_ended(), [], "reported once");
     });
 }
 
 #[test]
-fn an_end_that_comes_while_a_piece_waits_is_told_before_that_piece() {
+fn end_of_input_is_reported_before_bytes_that_are_still_queued() {
     let (listener, address) = listener();
-    let (first, mut second) = (far(address), far(address));
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let (first, mut second) = (connect(address), connect(address));
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let mut conns = [accepted(&mut net).await, accepted(&mut net).await];
         conns.sort_unstable();
         second.write_all(b"waits").expect("written");
-        // The piece is read and in the queue, and its reader waits for more.
+        // The bytes are in the event queue and their reader waits for input.
         net.look().await;
         net.look().await;
         assert!(net.has_input(conns[1]));
         assert_eq!(net.take_ended(), []);
-        // Then it ends, and nobody but the loop has a turn before the piece is given.
+        // End of input arrives, and no task runs before the loop takes the bytes.
         second.shutdown(Shutdown::Write).expect("its half ends");
         assert!(matches!(net.try_next(), Some(Event::Bytes { bytes, .. }) if bytes == b"waits"));
         assert_eq!(net.take_ended(), [conns[1]]);
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn an_end_behind_a_piece_that_a_full_queue_held_back_is_told_before_that_piece() {
+fn end_of_input_is_reported_before_bytes_delayed_by_a_full_queue() {
     let (listener, address) = listener();
-    let (mut first, mut second) = (far(address), far(address));
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let (mut first, mut second) = (connect(address), connect(address));
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let mut conns = [accepted(&mut net).await, accepted(&mut net).await];
         conns.sort_unstable();
-        // Pieces of the buffer's size: four fill the queue, and its reader waits for room with another. A look gives
-        // no turn behind the reactor's; the second one does.
+        // Four buffers fill the queue, and the reader waits for space with a fifth. Tasks that one poll makes
+        // runnable run during the second one.
         first.write_all(&[7; 8 * 1_024]).expect("written");
         net.look().await;
         net.look().await;
@@ -101,13 +101,13 @@
         net.look().await;
         net.look().await;
         second.shutdown(Shutdown::Write).expect("its half ends");
-        let mut told = Vec::new();
+        let mut reported = Vec::new();
         loop {
             let event = next(&mut net).await;
-            told.extend(net.take_ended());
+            reported.extend(net.take_ended());
             match event {
                 Event::Bytes { conn, bytes } if conn == conns[1] => {
-                    assert_eq!((bytes.as_slice(), told.as_slice()), (b"waits".as_slice(), &conns[1..]));
+                    assert_eq!((bytes.as_slice(), reported.as_slice()), (b"waits".as_slice(), &conns[1..]));
                     return;
                 }
                 Event::Bytes { .. } => {}
@@ -118,47 +118,47 @@
 }
 
 #[test]
-fn what_is_given_for_a_caller_that_ended_its_half_is_written() {
+fn queued_bytes_are_written_after_the_peer_shuts_down_its_side() {
     let (listener, address) = listener();
-    let mut far = far(address);
-    far.shutdown(Shutdown::Write).expect("its half ends");
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let mut peer = connect(address);
+    peer.shutdown(Shutdown::Write).expect("its half ends");
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         let Event::Closed { conn: closed } = next(&mut net).await else { panic!("not closed") };
         assert_eq!((closed, net.take_ended()), (conn, vec![conn]));
-        // It may be written to until the next event, and more than the kernel takes at once.
+        // It may be written to until the next event. Sends more than the kernel accepts at once.
         net.send(conn, &vec![b'5'; 16 << 20]);
         net.flush();
-        assert!(net.waiting(conn) > 0, "some waits here");
-        let reader = thread::spawn(move || all(&mut far));
+        assert!(net.waiting(conn) > 0, "some bytes wait for the peer");
+        let reader = thread::spawn(move || read_to_end(&mut peer));
         assert!(net.next(Some(Instant::now())).await.is_none());
-        net.end(LONG, LONG).await;
+        net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
         assert_eq!(reader.join().expect("it reads").expect("an end in order").len(), 16 << 20);
     });
 }
 
 #[test]
-fn closing_with_input_unread_lets_what_was_written_be_read() {
-    // More than the system takes for a far side that does not read, and less: its rest would go with a reset.
+fn close_with_unread_input_does_not_discard_written_bytes() {
+    // More than the kernel buffers for a peer that does not read, and less: a reset would discard the rest.
     for (hang_up, count) in [(false, 16 << 20), (false, 400 << 10), (true, 16 << 20), (true, 400 << 10)] {
         let (listener, address) = listener();
-        let mut far = far(address);
-        run_bounded(SMALL, async |mut net: Net<()>| {
+        let mut peer = connect(address);
+        run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
             net.listen(listener, 0).expect("it listens");
             let conn = accepted(&mut net).await;
             net.send(conn, &vec![b'5'; count]);
             net.flush();
-            far.write_all(&[7; 64 * 1_024]).expect("written");
+            peer.write_all(&[7; 64 * 1_024]).expect("written");
             if hang_up {
                 net.hang_up(conn);
             } else {
                 net.close(conn);
             }
-            // The loop's own tasks have their turn before anybody reads.
+            // The loop's own tasks run before the peer reads.
             net.look().await;
-            let reader = thread::spawn(move || all(&mut far));
-            net.end(LONG, LONG).await;
+            let reader = thread::spawn(move || read_to_end(&mut peer));
+            net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
             let read = reader.join().expect("it reads").expect("an end in order");
             assert_eq!(read.len(), count, "hang_up {hang_up}");
         });
@@ -166,67 +166,67 @@
 }
 
 #[test]
-fn closes_that_linger_are_bounded() {
+fn number_of_lingering_connections_is_bounded() {
     let (listener, address) = listener();
-    let mut all_far: Vec<_> = (0..6).map(|_| far(address)).collect();
-    let ended = run_bounded(Bounds { hung_up: 2, ..SMALL }, async |mut net: Net<()>| {
+    let mut peers: Vec<_> = (0..6).map(|_| connect(address)).collect();
+    let ended = run_bounded(Bounds { hung_up: 2, ..SMALL_BOUNDS }, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         for _ in 0..6 {
             let conn = accepted(&mut net).await;
             net.send(conn, &vec![b'5'; 16 << 20]);
             net.close(conn);
         }
-        let readers: Vec<_> = all_far
+        let readers: Vec<_> = peers
             .drain(..)
-            .map(|mut far| thread::spawn(move || all(&mut far).map_or(0, |b| b.len())))
+            .map(|mut peer| thread::spawn(move || read_to_end(&mut peer).map_or(0, |b| b.len())))
             .collect();
-        net.end(LONG, LONG).await;
+        net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
         readers.into_iter().map(|reader| reader.join().expect("it reads")).collect::<Vec<_>>()
     });
     assert_eq!(ended.iter().filter(|count| **count == 16 << 20).count(), 2, "{ended:?}");
 }
 
 #[test]
-fn the_end_of_the_loop_writes_all_and_keeps_a_reset_from_whoever_reads() {
+fn end_writes_all_bytes_without_a_reset() {
     let (listener, address) = listener();
-    let mut far = far(address);
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let mut peer = connect(address);
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         net.send(conn, &vec![b'2'; 16 << 20]);
-        // It sends on, and what it sends is never given to the loop.
-        far.write_all(&[7; 256 * 1_024]).expect("written");
-        let reader = thread::spawn(move || all(&mut far));
-        net.end(LONG, LONG).await;
+        // The peer goes on sending, and its bytes are never delivered to the loop.
+        peer.write_all(&[7; 256 * 1_024]).expect("written");
+        let reader = thread::spawn(move || read_to_end(&mut peer));
+        net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
         assert_eq!(reader.join().expect("it reads").expect("an end in order").len(), 16 << 20);
     });
 }
 
 #[test]
-fn a_far_side_that_never_reads_does_not_hold_the_end() {
+fn end_does_not_wait_for_a_peer_that_never_reads() {
     let (listener, address) = listener();
-    let far = far(address);
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let peer = connect(address);
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         net.send(conn, &vec![b'2'; 16 << 20]);
         net.end(Duration::from_millis(1), Duration::from_millis(1)).await;
     });
-    drop(far);
+    drop(peer);
 }
 
 #[test]
-fn every_connection_of_the_listen_queue_is_there_after_a_look() {
+fn all_connections_in_the_listen_queue_are_available_after_look() {
     let (listener, address) = listener();
-    // More than may wait untaken, and than the queue holds.
-    let far: Vec<_> = (0..40)
+    // More than the bound on waiting connections and the capacity of the event queue.
+    let peers: Vec<_> = (0..40)
         .map(|_| {
-            let mut far = far(address);
-            far.write_all(b"x").expect("written");
-            far
+            let mut peer = connect(address);
+            peer.write_all(b"x").expect("written");
+            peer
         })
         .collect();
-    run_bounded(Bounds { accepted: 2, ..SMALL }, async |mut net: Net<()>| {
+    run_bounded(Bounds { accepted: 2, ..SMALL_BOUNDS }, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         net.look().await;
         let (mut accepted, mut given) = (0, 0);
@@ -239,15 +239,15 @@
         }
         assert_eq!((accepted, given), (40, 40));
     });
-    drop(far);
+    drop(peers);
 }
 
 #[test]
-fn connections_that_the_loop_has_not_taken_stay_in_the_listen_queue() {
+fn connections_beyond_the_accept_bound_stay_in_the_listen_queue() {
     let (listener, address) = listener();
-    let far: Vec<_> = (0..40).map(|_| far(address)).collect();
+    let peers: Vec<_> = (0..40).map(|_| connect(address)).collect();
     let own = address.port();
-    // Sockets of this process whose own end is the listener's: the listener itself, and whom it has accepted.
+    // Counts this process's sockets on the listener's port: the listener and the accepted connections.
     let held = || {
         let text = std::fs::read_to_string("/proc/self/net/tcp").expect("the system tells");
         let inodes: Vec<_> = text
@@ -263,7 +263,7 @@
             .filter(|link| inodes.iter().any(|inode| link.to_str() == Some(inode)))
             .count()
     };
-    run_bounded(Bounds { queue: 256, accepted: 3, ..SMALL }, async |mut net: Net<()>| {
+    run_bounded(Bounds { queue: 256, accepted: 3, ..SMALL_BOUNDS }, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         net.look().await;
         net.look().await;
@@ -272,15 +272,15 @@
         net.look().await;
         assert_eq!(held(), 1 + 1 + 3);
     });
-    drop(far);
+    drop(peers);
 }
 
-/// What has not begun to leave is taken back alone; what has begun goes out whole.
+/// Only bytes of which none has been written may be revoked; a partly written part must be sent completely.
 #[test]
-fn what_waits_for_a_far_side_that_does_not_read_can_be_taken_back() {
+fn take_back_revokes_only_bytes_that_were_not_written() {
     let (listener, address) = listener();
-    let mut far = far(address);
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let mut peer = connect(address);
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         let first = vec![b'1'; 16 << 20];
@@ -288,19 +288,19 @@
         net.flush();
         let waiting = net.waiting(conn);
         assert!(waiting > 0 && waiting < first.len(), "the system took {} bytes", first.len() - waiting);
-        assert!(!net.take_back(conn, 1), "some of it has left");
+        assert!(!net.take_back(conn, 1), "some of it was written");
         for (name, byte) in [(2, b'2'), (3, b'3'), (4, b'4'), (3, b'5')] {
             net.send_revocable(conn, name, &[byte; 10]);
         }
         net.send(conn, b"between");
         net.send_revocable(conn, 6, b"666");
-        assert!(net.take_back(conn, 3), "the last of the name");
-        assert!(net.take_back(conn, 2) && !net.take_back(conn, 2), "once");
-        assert!(!net.take_back(conn, 7) && !net.take_back(conn + 1, 4), "never given");
+        assert!(net.take_back(conn, 3), "the last part queued under the name");
+        assert!(net.take_back(conn, 2) && !net.take_back(conn, 2), "can be revoked only once");
+        assert!(!net.take_back(conn, 7) && !net.take_back(conn + 1, 4), "was never queued");
         net.flush();
-        assert!(net.take_back(conn, 6), "behind what moved up");
-        let reader = thread::spawn(move || all(&mut far));
-        net.end(LONG, LONG).await;
+        assert!(net.take_back(conn, 6), "start offset is adjusted after the flush");
+        let reader = thread::spawn(move || read_to_end(&mut peer));
+        net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
         let read = reader.join().expect("it reads").expect("an end in order");
         assert_eq!(read.len(), first.len() + 27);
         assert!(read.starts_with(&first));
@@ -309,10 +309,10 @@
 }
 
 #[test]
-fn what_the_system_has_taken_can_not_be_taken_back() {
+fn take_back_fails_once_bytes_are_written() {
     let (listener, address) = listener();
-    let mut far = far(address);
-    run_bounded(SMALL, async |mut net: Net<()>| {
+    let mut peer = connect(address);
+    run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         net.send_revocable(conn, 1, b"gone");
@@ -321,8 +321,8 @@
         net.flush();
         assert!(!net.take_back(conn, 1));
         net.send_revocable(conn, 1, b", and more");
-        far.shutdown(Shutdown::Write).expect("a socket");
-        net.end(LONG, LONG).await;
+        peer.shutdown(Shutdown::Write).expect("a socket");
+        net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
     });
-    assert_eq!(all(&mut far).expect("an end in order"), b"gone, and more");
+    assert_eq!(read_to_end(&mut peer).expect("an end in order"), b"gone, and more");
 }
