--- a/crates/lemoncleat-net/tests/ends.rs
+++ b/crates/lemoncleat-net/tests/ends.rs
@@ -50,7 +50,7 @@
     let (listener, address) = listener();
     let mut peer = connect(address);
     peer.write_all(b"INVITE").expect("written");
-    peer.shutdown(Shutdown::Write).expect("its half ends");
+    peer.shutdown(Shutdown::Write).expect("the sending side is shut down");
     run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
@@ -77,7 +77,7 @@
         assert!(net.has_input(conns[1]));
         assert_eq!(net.take_ended(), []);
         // End of input arrives, and no task runs before the loop takes the bytes.
-        second.shutdown(Shutdown::Write).expect("its half ends");
+        second.shutdown(Shutdown::Write).expect("the sending side is shut down");
         assert!(matches!(net.try_next(), Some(Event::Bytes { bytes, .. }) if bytes == b"waits"));
         assert_eq!(net.take_ended(), [conns[1]]);
         drop(first);
@@ -100,7 +100,7 @@
         second.write_all(b"waits").expect("written");
         net.look().await;
         net.look().await;
-        second.shutdown(Shutdown::Write).expect("its half ends");
+        second.shutdown(Shutdown::Write).expect("the sending side is shut down");
         let mut reported = Vec::new();
         loop {
             let event = next(&mut net).await;
@@ -121,7 +121,7 @@
 fn queued_bytes_are_written_after_the_peer_shuts_down_its_side() {
     let (listener, address) = listener();
     let mut peer = connect(address);
-    peer.shutdown(Shutdown::Write).expect("its half ends");
+    peer.shutdown(Shutdown::Write).expect("the sending side is shut down");
     run_bounded(SMALL_BOUNDS, async |mut net: Net<()>| {
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
@@ -249,7 +249,7 @@
     let own = address.port();
     // Counts this process's sockets on the listener's port: the listener and the accepted connections.
     let held = || {
-        let text = std::fs::read_to_string("/proc/self/net/tcp").expect("the system tells");
+        let text = std::fs::read_to_string("/proc/self/net/tcp").expect("procfs is readable");
         let inodes: Vec<_> = text
             .lines()
             .filter(|line| {
@@ -257,7 +257,7 @@
             })
             .filter_map(|line| line.split_whitespace().nth(9).map(|inode| format!("socket:[{inode}]")))
             .collect();
-        let open = std::fs::read_dir("/proc/self/fd").expect("the system tells");
+        let open = std::fs::read_dir("/proc/self/fd").expect("procfs is readable");
         open.flatten()
             .filter_map(|fd| std::fs::read_link(fd.path()).ok())
             .filter(|link| inodes.iter().any(|inode| link.to_str() == Some(inode)))
--- a/crates/lemoncleat-service/src/access.rs
+++ b/crates/lemoncleat-service/src/access.rs
@@ -1,4 +1,4 @@
-//! The event loop around the core of an access node on the operators' platform.
+//! The event loop that drives the core of an access node on the operators' platform.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -16,65 +16,66 @@
 
 use crate::ServiceError;
 
-/// Events handled before what they led to is written, and how long that may take.
-const BATCH: usize = 64;
-const BATCH_TIME: Duration = Duration::from_millis(2);
-/// What the loop may hold: the memory of a whole node may be 32 MB.
+/// Maximum number of events per batch and maximum duration of a batch, after which the output is written.
+const MAX_BATCH_EVENTS: usize = 64;
+const MAX_BATCH_DURATION: Duration = Duration::from_millis(2);
+/// Bounds of the event loop, sized for a node whose total memory may be 32 MB.
 const BOUNDS: Bounds = Bounds { queue: 256, read: 16 * 1024, hung_up: 32, accepted: 16 };
-/// Connections that may wait to be accepted.
-const BACKLOG: i32 = 1_024;
-/// Bytes that may wait to be written to a connection whose other side does not read.
-const WAITING: usize = 256 * 1024;
-/// How long a node that is done goes on for what still comes, at most.
-const LAST_LOOKS: Duration = Duration::from_secs(1);
-/// How long last answers may take to be written, and how long callers may take after that to close.
-const LAST_BYTES: Duration = Duration::from_secs(2);
-const LAST_CLOSES: Duration = Duration::from_millis(500);
-/// The longest datagram that is read; longer ones than a note are no note.
-const DATAGRAM: usize = 512;
-/// A configuration that is being replaced is read again after this, so often.
-const REREAD: (Duration, u32) = (Duration::from_millis(100), 10);
+/// Length of the listen queue.
+const LISTEN_BACKLOG: i32 = 1_024;
+/// Bytes that may wait on a connection whose peer does not read.
+const MAX_WAITING_BYTES: usize = 256 * 1024;
+/// Maximum time that a stopped node still handles newly arriving input.
+const FINAL_INPUT_LIMIT: Duration = Duration::from_secs(1);
+/// Time limit for writing the last answers, and for callers to close their connections after that.
+const FINAL_WRITE_LIMIT: Duration = Duration::from_secs(2);
+const FINAL_CLOSE_LIMIT: Duration = Duration::from_millis(500);
+/// Size of the datagram buffer; longer datagrams are not valid notes.
+const DATAGRAM_BUFFER_BYTES: usize = 512;
+/// Interval and number of attempts to read a configuration file that may be in the middle of a replacement.
+const RELOAD_RETRY: (Duration, u32) = (Duration::from_millis(100), 10);
 
-/// What a running access node is told.
+/// A request or event for a running access node.
 #[derive(Clone, Debug)]
 pub enum AccessControl {
-    /// Read the configuration anew.
+    /// Reload the configuration.
     Reload,
-    /// End in order.
+    /// Shut down in an orderly way.
     Stop,
-    /// A datagram came.
+    /// A datagram was received.
     Datagram(SocketAddr, Vec<u8>),
-    /// The configuration was read anew; the journal service is there.
+    /// The configuration was reloaded; this is the address of the journal service.
     JournalAt(SocketAddr),
 }
 
-/// An access node that is to run.
+/// Settings of an access node.
 #[derive(Debug)]
 pub struct AccessSettings {
     /// The platform's configuration.
     pub config: NodeConfig,
-    /// Where it stands, to be read anew when asked to.
+    /// The configuration file, which is read again on a reload.
     pub file: PathBuf,
-    /// Tell of every step of every call.
+    /// Log every step of every call.
     pub trace: bool,
-    /// Join the fleet of the other nodes, where the platform's settings allow notes.
+    /// Join the fleet of the other nodes, if the platform's settings allow notes.
     pub fleet: bool,
 }
 
-/// Runs an access node on the present thread until it was stopped. `ready` is called once callers are accepted.
+/// Runs an access node on the current thread until it is stopped. `ready` is called once callers are
+/// accepted.
 ///
 /// # Errors
 ///
-/// When the module can't work with the settings, or a socket can't be had.
+/// When the settings are invalid or a socket can't be opened.
 pub fn serve_access(
     settings: AccessSettings,
     listener: TcpListener,
     ready: impl FnOnce(Mailbox<AccessControl>),
 ) -> Result<Stats, ServiceError> {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let start = Instant::now();
     let peers = settings.config.peer_listen;
-    let mut node = AccessNode::new(settings.config, unix.as_micros() as Micros)
+    let mut node = AccessNode::new(settings.config, since_epoch.as_micros() as Micros)
         .map_err(|error| ServiceError::Settings(error.to_string()))?;
     if settings.trace {
         node.trace_calls();
@@ -84,42 +85,42 @@
     }
     run_bounded(BOUNDS, async move |mut net: Net<AccessControl>| {
         net.listen(listener, 0)?;
-        let notes = match peers {
+        let note_socket = match peers {
             Some(address) => Some(listen_for_notes(&mut net, address)?),
             None => None,
         };
         ready(net.sender());
-        let service = Access {
+        let service = AccessService {
             node,
             net,
             start,
-            notes,
+            note_socket,
             file: settings.file,
             outputs: Vec::new(),
             stopped: false,
-            looks: Rc::default(),
+            reload_attempts: Rc::default(),
         };
         Ok(service.run().await)
     })
 }
 
-/// A listener with room for a flood of callers.
+/// Opens a listener with a long listen queue, for bursts of callers.
 ///
 /// # Errors
 ///
-/// When the address is not to be had.
+/// When the address can't be bound.
 pub fn listen_for_callers(address: SocketAddr) -> io::Result<TcpListener> {
     let listener = TcpListener::bind(address)?;
-    // Listening anew only changes how many may wait.
-    rustix::net::listen(&listener, BACKLOG)?;
+    // A second call of `listen` only changes the length of the queue.
+    rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     Ok(listener)
 }
 
-/// Reads the configuration of the platform.
+/// Reads the platform's configuration file.
 ///
 /// # Errors
 ///
-/// One line: the file, where in it, and what was expected.
+/// One line with the file, the position in it and what was expected.
 pub fn read_access_config(file: &Path) -> Result<NodeConfig, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
@@ -130,35 +131,35 @@
     let socket = Rc::new(Async::<UdpSocket>::bind(address)?);
     let (reading, mailbox) = (socket.clone(), net.sender());
     net.spawn(async move {
-        let mut buffer = [0; DATAGRAM];
+        let mut buffer = [0; DATAGRAM_BUFFER_BYTES];
         loop {
-            // A failed read is that of an earlier datagram of ours which nobody took.
+            // A read error reports that an earlier datagram of this node could not be delivered.
             if let Ok((count, from)) = reading.recv_from(&mut buffer).await {
                 let note = AccessControl::Datagram(from, buffer[..count].to_vec());
                 if mailbox.send(note).await.is_err() {
                     return;
                 }
             }
-            // A flood of datagrams must not keep the callers from their turn.
+            // A burst of datagrams must not starve the callers' connections.
             future::yield_now().await;
         }
     });
     Ok(socket)
 }
 
-struct Access {
+struct AccessService {
     node: AccessNode,
     net: Net<AccessControl>,
     start: Instant,
-    notes: Option<Rc<Async<UdpSocket>>>,
+    note_socket: Option<Rc<Async<UdpSocket>>>,
     file: PathBuf,
     outputs: Vec<Output>,
     stopped: bool,
-    /// Looks still to be taken at a configuration that is to be read anew.
-    looks: Rc<Cell<u32>>,
+    /// Remaining attempts of the reload in progress; 0 if there is none.
+    reload_attempts: Rc<Cell<u32>>,
 }
 
-impl Access {
+impl AccessService {
     fn clock(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
@@ -171,15 +172,17 @@
     async fn run(mut self) -> Stats {
         self.perform();
         self.net.flush();
-        // When the core said first that all is done.
-        let mut done: Option<Instant> = None;
+        // When the core first reported that it has finished.
+        let mut finished_at: Option<Instant> = None;
         loop {
             let mut event = if std::mem::take(&mut self.stopped) {
-                // All that was taken in is answered. What came since has been taken by the system, and is owed the
-                // same.
+                // All input read so far is answered. Input that the kernel has accepted since must be
+                // answered too.
                 self.net.look().await;
                 let event = self.net.ready().await;
-                if event.is_none() || done.get_or_insert_with(Instant::now).elapsed() > LAST_LOOKS {
+                if event.is_none()
+                    || finished_at.get_or_insert_with(Instant::now).elapsed() > FINAL_INPUT_LIMIT
+                {
                     break;
                 }
                 event
@@ -187,10 +190,10 @@
                 let wake = self.node.wake().map(|at| self.start + Duration::from_micros(at.max(0) as u64));
                 self.net.next(wake).await
             };
-            let until = Instant::now() + BATCH_TIME;
-            for _ in 0..BATCH {
+            let until = Instant::now() + MAX_BATCH_DURATION;
+            for _ in 0..MAX_BATCH_EVENTS {
                 match event.take() {
-                    Some(event) => self.event(event),
+                    Some(event) => self.handle_event(event),
                     None => break,
                 }
                 if Instant::now() > until {
@@ -199,26 +202,26 @@
                 event = self.net.try_next();
             }
             if let Some(event) = event {
-                self.event(event);
+                self.handle_event(event);
             }
-            self.leaving();
+            self.report_half_closed();
             self.handle(Input::Timeout);
             self.perform();
             self.net.flush();
         }
-        self.net.end(LAST_BYTES, LAST_CLOSES).await;
+        self.net.end(FINAL_WRITE_LIMIT, FINAL_CLOSE_LIMIT).await;
         self.node.stats()
     }
 
-    /// Tells the core whose far side has ended its half, before anything else is begun.
-    fn leaving(&mut self) {
+    /// Reports peers that have shut down their sending side to the core, before any other work is started.
+    fn report_half_closed(&mut self) {
         for conn in self.net.take_ended() {
             self.handle(Input::Leaving(ConnId(conn)));
         }
     }
 
-    fn event(&mut self, event: Event<AccessControl>) {
-        self.leaving();
+    fn handle_event(&mut self, event: Event<AccessControl>) {
+        self.report_half_closed();
         match event {
             Event::Accepted { conn, .. } => self.handle(Input::Accepted(ConnId(conn))),
             Event::Dialled { tag, conn } => self.handle(Input::Dialled(DialId(tag), ConnId(conn))),
@@ -241,9 +244,9 @@
         self.perform();
     }
 
-    /// Carries out what the core asked for.
+    /// Executes the outputs of the core.
     fn perform(&mut self) {
-        // What comes of one is carried out behind all that was asked for before.
+        // Outputs that result from executing one are executed after all earlier ones.
         let mut outputs = VecDeque::new();
         loop {
             outputs.extend(self.outputs.drain(..));
@@ -277,8 +280,8 @@
                 }
                 Output::HangUp(conn) => self.net.hang_up(conn.0),
                 Output::Tell(address, bytes) => {
-                    if let Some(socket) = &self.notes {
-                        // Notes may be lost on any way; on this one too.
+                    if let Some(socket) = &self.note_socket {
+                        // Notes may be lost, so that a failed send is ignored.
                         let _ = socket.get_ref().send_to(&bytes, address);
                     }
                 }
@@ -288,47 +291,48 @@
         }
     }
 
-    /// A connection whose other side does not read is given up once too much waits there.
+    /// Aborts a connection whose peer does not read once too many bytes wait on it.
     fn bound_waiting(&mut self, conn: ConnId) {
-        if self.net.waiting(conn.0) > WAITING {
-            // The other side may have room for more than was offered to it so far.
+        if self.net.waiting(conn.0) > MAX_WAITING_BYTES {
+            // The socket may accept more than was written so far.
             self.net.flush();
         }
-        if self.net.waiting(conn.0) > WAITING {
+        if self.net.waiting(conn.0) > MAX_WAITING_BYTES {
             self.net.abort(conn.0);
             self.handle(Input::Closed(conn));
         }
     }
 
-    /// Reads the configuration anew. One that is being replaced is read again a little later; until one can be
-    /// used, what is in force stays so.
+    /// Reloads the configuration. A file that can't be used may be in the middle of a replacement and is
+    /// read again a little later; until then the configuration in force remains.
     fn reload(&mut self) {
-        if self.looks.replace(REREAD.1) > 0 {
-            // What is being read again is looked at for this wish too.
+        if self.reload_attempts.replace(RELOAD_RETRY.1) > 0 {
+            // The reload in progress, with its attempts renewed, serves this request too.
             return;
         }
-        let (file, mailbox, looks) = (self.file.clone(), self.net.sender(), self.looks.clone());
+        let (file, mailbox, reload_attempts) =
+            (self.file.clone(), self.net.sender(), self.reload_attempts.clone());
         self.net.spawn(async move {
-            let mut told = String::new();
-            while looks.get() > 0 {
+            let mut last_error = String::new();
+            while reload_attempts.get() > 0 {
                 match read_access_config(&file) {
                     Ok(config) => {
-                        looks.set(0);
+                        reload_attempts.set(0);
                         tracing::info!("configuration read again");
                         if let Some(address) = config.journal {
-                            // Once the loop has ended there is nobody to tell.
+                            // Fails only once the loop has ended, when the address no longer matters.
                             let _ = mailbox.send(AccessControl::JournalAt(address)).await;
                         }
                         return;
                     }
-                    Err(why) if why == told => {}
+                    Err(why) if why == last_error => {}
                     Err(why) => {
                         tracing::warn!(%why, "the configuration in force stays so");
-                        told = why;
+                        last_error = why;
                     }
                 }
-                Timer::after(REREAD.0).await;
-                looks.set(looks.get() - 1);
+                Timer::after(RELOAD_RETRY.0).await;
+                reload_attempts.set(reload_attempts.get() - 1);
             }
         });
     }
--- a/crates/lemoncleat-service/src/config.rs
+++ b/crates/lemoncleat-service/src/config.rs
@@ -1,4 +1,4 @@
-//! A node's settings file. `docs/operate/node.md` describes every field.
+//! The settings file of a node. `docs/operate/node.md` describes every field.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -20,35 +20,35 @@
 use crate::log::LogFormat;
 use crate::service::{ServiceSettings, TlsSettings, TlsSource};
 
-/// All that a settings file says.
+/// The contents of a settings file.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Addresses on which clients connect.
     pub listen: Vec<SocketAddr>,
-    /// What the service is told.
+    /// Settings of the service.
     pub service: ServiceSettings,
-    /// How it logs.
+    /// Log settings.
     pub log: LogConfig,
-    /// Fields in which the agreed text that it was read with differs from the file.
+    /// Fields in which the agreed configuration text differs from the file.
     pub differs: Vec<&'static str>,
 }
 
-/// How a node logs.
+/// Log settings of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// Text or JSON.
+    /// Output format.
     pub format: LogFormat,
     /// A level or tracing directives.
     pub filter: String,
 }
 
 /// The shortest `timing.gap`.
-const SHORTEST_GAP: i64 = 10_000;
+const MIN_GAP_US: i64 = 10_000;
 
-/// The smallest `limits.message` with which the longest word of a fleet comes through.
-const LEAST_WITH_FLEET: usize = 36 * 1024;
+/// The smallest `limits.message` that fits the longest message between fleet members.
+const MIN_MESSAGE_BYTES_WITH_FLEET: usize = 36 * 1024;
 
-/// A mistake in a settings file.
+/// An error in a settings file.
 pub type ConfigError = Error;
 
 #[derive(Deserialize)]
@@ -70,19 +70,19 @@
     pub(crate) clients: Vec<String>,
     pub(crate) classes: Vec<ClassFile>,
     pub(crate) plan: Vec<PrefixFile>,
-    #[serde(default = "one")]
+    #[serde(default = "default_nodes")]
     pub(crate) nodes: u32,
     #[serde(default)]
     number: u32,
-    #[serde(default = "four")]
+    #[serde(default = "default_attempts")]
     pub(crate) attempts: u32,
-    #[serde(default = "release")]
+    #[serde(default = "default_release")]
     pub(crate) release: Span,
     #[serde(default)]
     pub(crate) repeat: Span,
     #[serde(default)]
     pub(crate) tells_wait: bool,
-    #[serde(default = "yes")]
+    #[serde(default = "default_may_cancel")]
     pub(crate) may_cancel: bool,
     #[serde(default)]
     pub(crate) come_back_after: Option<Span>,
@@ -102,16 +102,16 @@
     seed: Option<u64>,
 }
 
-fn one() -> u32 {
+fn default_nodes() -> u32 {
     1
 }
-fn four() -> u32 {
+fn default_attempts() -> u32 {
     4
 }
-fn yes() -> bool {
+fn default_may_cancel() -> bool {
     true
 }
-fn release() -> Span {
+fn default_release() -> Span {
     Span(300_000)
 }
 
@@ -209,9 +209,9 @@
     authorities: PathBuf,
     #[serde(default)]
     min_version: VersionFile,
-    #[serde(default = "many_handshakes")]
+    #[serde(default = "default_max_handshakes")]
     handshakes: usize,
-    #[serde(default = "handshake_time")]
+    #[serde(default = "default_handshake_time")]
     handshake_time: Span,
 }
 
@@ -256,69 +256,72 @@
     challenge: ChallengeFile,
     challenge_listen: Option<SocketAddr>,
     preferred_chain: Option<String>,
-    #[serde(default = "renew_at")]
+    #[serde(default = "default_renew_at")]
     renew_at: f64,
-    #[serde(default = "renew_spread")]
+    #[serde(default = "default_renew_spread")]
     spread: f64,
-    #[serde(default = "first_wait")]
+    #[serde(default = "default_first_wait")]
     first_wait: Span,
-    #[serde(default = "most_wait")]
+    #[serde(default = "default_most_wait")]
     most_wait: Span,
-    #[serde(default = "least_wait")]
+    #[serde(default = "default_least_wait")]
     least_wait: Span,
-    #[serde(default = "try_time")]
+    #[serde(default = "default_try_time")]
     try_time: Span,
-    #[serde(default = "answer_time")]
+    #[serde(default = "default_answer_time")]
     answer_time: Span,
-    #[serde(default = "look")]
+    #[serde(default = "default_look")]
     look: Span,
 }
 
-fn renew_at() -> f64 {
+fn default_renew_at() -> f64 {
     Policy::default().share
 }
-fn renew_spread() -> f64 {
+fn default_renew_spread() -> f64 {
     Policy::default().spread
 }
-fn first_wait() -> Span {
+fn default_first_wait() -> Span {
     Span(Policy::default().first_wait * 1_000_000)
 }
-fn most_wait() -> Span {
+fn default_most_wait() -> Span {
     Span(Policy::default().most_wait * 1_000_000)
 }
-fn least_wait() -> Span {
+fn default_least_wait() -> Span {
     Span(Policy::default().least_wait * 1_000_000)
 }
-fn try_time() -> Span {
+fn default_try_time() -> Span {
     Span(600_000_000)
 }
-fn answer_time() -> Span {
+fn default_answer_time() -> Span {
     Span(30_000_000)
 }
-fn look() -> Span {
+fn default_look() -> Span {
     Span(10_000_000)
 }
 
 impl AcmeFile {
-    /// The names of a certificate always hold the node's own.
+    /// Converts to the keeper's settings; the certificate always includes the node's own name.
     fn settings(self, host: &str) -> Result<KeeperSettings, Error> {
         if !self.directory.starts_with("https://") && !self.directory.starts_with("http://") {
-            return bad("tls.acme.directory", format!("{:?}, expected a URL of https", self.directory));
+            return invalid("tls.acme.directory", format!("{:?}, expected a URL of https", self.directory));
         }
         if !(self.renew_at > 0.0 && self.renew_at < 1.0 && (0.0..1.0).contains(&self.spread)) {
-            return bad("tls.acme.renew-at", "expected shares of a certificate's life between 0 and 1");
+            return invalid("tls.acme.renew-at", "expected shares of a certificate's life between 0 and 1");
         }
         let spans =
             [self.first_wait, self.most_wait, self.least_wait, self.try_time, self.answer_time, self.look];
         if spans.iter().any(|span| span.0 < 1_000_000) {
-            return bad("tls.acme", "a wait or time below 1s, expected 1s at the least");
+            return invalid("tls.acme", "a wait or time below 1s, expected 1s at the least");
         }
         let challenge = match self.challenge {
             ChallengeFile::Http01 => ChallengeKind::Http01,
             ChallengeFile::TlsAlpn01 => ChallengeKind::TlsAlpn01,
         };
         if challenge == ChallengeKind::Http01 && self.challenge_listen.is_none() {
-            return bad("tls.acme.challenge-listen", "missing, expected the address where http-01 is served");
+            return invalid(
+                "tls.acme.challenge-listen",
+                "missing, expected the address where http-01 is served",
+            );
         }
         let mut names = vec![host.to_ascii_lowercase()];
         for name in self.names {
@@ -329,7 +332,8 @@
         }
         let seconds = |span: Span| span.0 / 1_000_000;
         let time = |span: Span| Duration::from_micros(span.0.max(0) as u64);
-        // The same node draws the same moments at each start, and no two nodes the same.
+        // Derives the seed from the host name: renewal times are the same at each start and differ between
+        // nodes.
         let seed = host.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
             (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
         });
@@ -362,10 +366,10 @@
     }
 }
 
-fn many_handshakes() -> usize {
+fn default_max_handshakes() -> usize {
     256
 }
-fn handshake_time() -> Span {
+fn default_handshake_time() -> Span {
     Span(5_000_000)
 }
 
@@ -374,7 +378,7 @@
         let source = match (self.certificate, self.key, self.acme) {
             (Some(certificate), Some(key), None) => TlsSource::Files(TlsFiles { certificate, key }),
             (None, None, Some(acme)) => TlsSource::Acme(Box::new(acme.settings(host)?)),
-            _ => return bad("tls", "expected either certificate and key, or acme"),
+            _ => return invalid("tls", "expected either certificate and key, or acme"),
         };
         Ok(TlsSettings {
             source,
@@ -406,23 +410,23 @@
     size: u32,
     #[serde(default)]
     order: OrderFile,
-    #[serde(default = "audit_round")]
+    #[serde(default = "default_audit_round")]
     audit_round: Span,
-    #[serde(default = "audit_slice")]
+    #[serde(default = "default_audit_slice")]
     audit_slice: u32,
-    #[serde(default = "two_seconds")]
+    #[serde(default = "default_repeat_interval")]
     release_again: Span,
-    #[serde(default = "two_seconds")]
+    #[serde(default = "default_repeat_interval")]
     reset_again: Span,
 }
 
-fn audit_round() -> Span {
+fn default_audit_round() -> Span {
     Span(Audits::default().round)
 }
-fn audit_slice() -> u32 {
+fn default_audit_slice() -> u32 {
     Audits::default().slice
 }
-fn two_seconds() -> Span {
+fn default_repeat_interval() -> Span {
     Span(2_000_000)
 }
 
@@ -445,7 +449,7 @@
     }
 }
 
-macro_rules! spans {
+macro_rules! timing_file {
     ($name:ident { $($field:ident),* $(,)? } from $source:expr) => {
         #[derive(Deserialize)]
         #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
@@ -480,7 +484,7 @@
     };
 }
 
-spans! {
+timing_file! {
     TimingFile {
         open, close, gap, answer_margin, client_return, server_return, duplicates, late_answers, drain,
     } from Timing::default()
@@ -498,13 +502,13 @@
 
 impl Default for LimitsFile {
     fn default() -> Self {
-        let plain = NodeSettings::new("", "", Settings::default(), NumberingPlan::new());
+        let defaults = NodeSettings::new("", "", Settings::default(), NumberingPlan::new());
         LimitsFile {
-            message: Size(plain.max_message),
-            connections: plain.max_connections,
-            calls: plain.max_calls,
-            queue: Size(plain.max_queue),
-            duplicates: plain.max_duplicates,
+            message: Size(defaults.max_message),
+            connections: defaults.max_connections,
+            calls: defaults.max_calls,
+            queue: Size(defaults.max_queue),
+            duplicates: defaults.max_duplicates,
         }
     }
 }
@@ -531,82 +535,88 @@
     }
 }
 
-pub(crate) fn bad<T>(path: &str, message: impl Into<String>) -> Result<T, Error> {
+pub(crate) fn invalid<T>(path: &str, message: impl Into<String>) -> Result<T, Error> {
     Err(Error { place: None, path: path.to_owned(), message: message.into() })
 }
 
-/// Reads the text of a settings file.
+/// Parses the text of a settings file.
 ///
 /// # Errors
 ///
-/// The first mistake: what, where and what was expected.
+/// The first error: its position, its cause and what was expected.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
     from_str::<File>(text)?.config(text)
 }
 
-/// Reads the text of a settings file together with one that the node's fleet agrees on, which wins for the fields
-/// that it names.
+/// Parses the text of a settings file together with the configuration text that the node's fleet agrees on,
+/// which takes precedence for the fields that it contains.
 ///
 /// # Errors
 ///
-/// The first mistake, with its place in the agreed text; the file is taken to be good by itself.
+/// The first error, with its position in the agreed text; the file by itself is assumed to be valid.
 pub fn read_with(text: &str, agreed: &str) -> Result<Config, ConfigError> {
     let shared = crate::shared::shared(agreed)?;
     let mut file: File = from_str(text)?;
-    let read = shared.over(&mut file).and_then(|differs| Ok(Config { differs, ..file.config(text)? }));
-    read.map_err(|error| crate::shared::placed(agreed, error))
+    let read = shared.apply_to(&mut file).and_then(|differs| Ok(Config { differs, ..file.config(text)? }));
+    read.map_err(|error| crate::shared::with_place(agreed, error))
 }
 
 impl File {
     fn config(self, text: &str) -> Result<Config, Error> {
         for (path, name) in [("host", &self.host), ("realm", &self.realm)] {
-            let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
-            if name.is_empty() || !name.chars().all(fits) {
-                return bad(path, format!("{name:?}, expected a name of letters, digits, '-', '_' and '.'"));
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+            if name.is_empty() || !name.chars().all(is_allowed) {
+                return invalid(
+                    path,
+                    format!("{name:?}, expected a name of letters, digits, '-', '_' and '.'"),
+                );
             }
         }
         if self.listen.is_empty() {
-            return bad("listen", "no address, expected at least one");
+            return invalid("listen", "no address, expected at least one");
         }
         if self.feed.is_none() && self.servers.is_empty() {
-            return bad("feed", "missing, expected either a feed or servers");
+            return invalid("feed", "missing, expected either a feed or servers");
         }
         if self.feed.is_some() && !self.servers.is_empty() {
-            return bad("servers", "beside a feed, expected only one of the two");
+            return invalid("servers", "beside a feed, expected only one of the two");
         }
         if self.number >= self.nodes {
-            return bad("number", format!("{}, expected less than nodes ({})", self.number, self.nodes));
+            return invalid("number", format!("{}, expected less than nodes ({})", self.number, self.nodes));
         }
         if self.timing.watchdog.0 < WATCHDOG_FLOOR && !self.timing.watchdog_below_floor {
             let text = "below the 6s that RFC 3539 allows; for rehearsals set (watchdog-below-floor yes)";
-            return bad("timing.watchdog", text);
+            return invalid("timing.watchdog", text);
         }
         if self.timing.watchdog.0 <= 0 {
-            return bad("timing.watchdog", "expected a span above zero");
+            return invalid("timing.watchdog", "expected a span above zero");
         }
-        if self.timing.gap.0 < SHORTEST_GAP {
-            return bad("timing.gap", "expected 10ms at least: half of it is how often an idle loop turns");
+        if self.timing.gap.0 < MIN_GAP_US {
+            return invalid(
+                "timing.gap",
+                "expected 10ms at least: half of it is how often an idle loop turns",
+            );
         }
         if self.limits.message.0 < 4096 || self.limits.message.0 > 0x00ff_ffff {
-            return bad("limits.message", "expected 4KiB to 16777215");
+            return invalid("limits.message", "expected 4KiB to 16777215");
         }
         if self.control.is_some_and(|control| !control.ip().is_loopback()) {
-            return bad("control", "expected a loopback address: whoever reaches it may cut calls");
+            return invalid("control", "expected a loopback address: whoever reaches it may cut calls");
         }
         match (&self.tls, self.plain) {
             (None, false) => {
-                return bad("tls", "missing, expected (tls ...), or (plain yes) for connections without")
+                return invalid("tls", "missing, expected (tls ...), or (plain yes) for connections without")
             }
-            (Some(_), true) => return bad("plain", "beside tls, expected only one of the two"),
+            (Some(_), true) => return invalid("plain", "beside tls, expected only one of the two"),
             _ => {}
         }
-        let twice = |(at, class): &(usize, &ClassFile)| {
+        let is_duplicate = |(at, class): &(usize, &ClassFile)| {
             self.classes.iter().take(*at).any(|other| other.name == class.name)
         };
-        if let Some((at, class)) = self.classes.iter().enumerate().find(twice) {
-            return bad(&format!("classes[{at}].name"), format!("{:?} stands twice", class.name));
+        if let Some((at, class)) = self.classes.iter().enumerate().find(is_duplicate) {
+            return invalid(&format!("classes[{at}].name"), format!("{:?} is listed twice", class.name));
         }
-        let module = self.module()?;
+        let module = self.decision_settings()?;
         let mut plan = NumberingPlan::new();
         let mut entries = Vec::new();
         for (index, prefix) in self.plan.iter().enumerate() {
@@ -614,14 +624,14 @@
             let Some(class) = self.classes.iter().position(|class| class.name == prefix.class) else {
                 let known: Vec<&str> = self.classes.iter().map(|class| class.name.as_str()).collect();
                 let text = format!("{:?}, expected one of the classes {}", prefix.class, known.join(", "));
-                return bad(&path("class"), text);
+                return invalid(&path("class"), text);
             };
             let route = Route { class, place: prefix.place };
-            plan.add(&prefix.digits, route).or_else(|error| bad(&path("digits"), error.to_string()))?;
+            plan.add(&prefix.digits, route).or_else(|error| invalid(&path("digits"), error.to_string()))?;
             entries.push(PlanEntry { prefix: prefix.digits.clone(), class, pool: prefix.place });
         }
         if plan.is_empty() {
-            return bad("plan", "no prefix, expected at least one");
+            return invalid("plan", "no prefix, expected at least one");
         }
         let rules = Rules { settings: module.clone(), plan: entries };
         let mut node = NodeSettings::new(&self.host, &self.realm, module, plan);
@@ -637,7 +647,7 @@
         node.max_duplicates = self.limits.duplicates;
         if let Some(circuits) = &self.circuits {
             if circuits.size == 0 || circuits.size > 100_000 {
-                return bad("circuits.size", "expected 1 to 100000");
+                return invalid("circuits.size", "expected 1 to 100000");
             }
             node.circuits = Some(circuits.settings());
         }
@@ -645,10 +655,14 @@
         let fleet = self.fleet.map(|fleet| fleet.settings(&self.host)).transpose()?;
         if let Some(fleet) = &fleet {
             let other = |host: &str| self.clients.iter().any(|client| client == host);
-            fleet.apart_from(other, "clients")?;
-            fleet.apart_from(|host| self.servers.iter().any(|server| server.host == host), "servers")?;
-            if node.max_message < LEAST_WITH_FLEET {
-                return bad("limits.message", "below 36KiB beside a fleet, whose words may have 32KiB");
+            fleet.check_not_listed(other, "clients")?;
+            fleet
+                .check_not_listed(|host| self.servers.iter().any(|server| server.host == host), "servers")?;
+            if node.max_message < MIN_MESSAGE_BYTES_WITH_FLEET {
+                return invalid(
+                    "limits.message",
+                    "below 36KiB beside a fleet, whose messages may have 32KiB",
+                );
             }
             node.members = fleet.peers();
         }
@@ -680,7 +694,7 @@
         Ok(Config { listen: self.listen, service, log, differs: Vec::new() })
     }
 
-    fn module(&self) -> Result<Settings, Error> {
+    fn decision_settings(&self) -> Result<Settings, Error> {
         let class = |class: &ClassFile| Class {
             aim: class.aim.0,
             deadline: class.deadline.0,
@@ -722,7 +736,7 @@
         };
         match settings.check() {
             Ok(()) => Ok(settings),
-            Err(error) => bad("", error.to_string()),
+            Err(error) => invalid("", error.to_string()),
         }
     }
 }
@@ -731,15 +745,15 @@
 mod tests {
     use super::*;
 
-    const LEAST: &str =
+    const MINIMAL_FILE: &str =
         "(plain yes) (host n1.example) (realm example) (listen 127.0.0.1:0) (feed 127.0.0.1:4000)
 (clients c.example)
 (classes (class (name browse) (aim 1500ms) (deadline 9s) (worth 1)))
 (plan (prefix (digits 351) (class browse) (place 2)))";
 
     #[test]
-    fn the_least_file_gets_the_defaults() {
-        let config = read(LEAST).expect("a good file");
+    fn minimal_file_gets_defaults() {
+        let config = read(MINIMAL_FILE).expect("a good file");
         let node = &config.service.node;
         assert_eq!(node.timing, Timing::default());
         assert_eq!(node.module.release, 300_000);
@@ -748,7 +762,7 @@
     }
 
     #[test]
-    fn what_does_not_fit_together_is_told() {
+    fn inconsistent_settings_are_rejected() {
         let cases = [
             (" (timing (watchdog 2s))", "timing.watchdog: below the 6s"),
             (" (number 1)", "number: 1, expected less than nodes (1)"),
@@ -759,19 +773,21 @@
             (" (cold (from 0))", "cold servers must be above zero"),
         ];
         for (more, expected) in cases {
-            let told = read(&format!("{LEAST}{more}")).expect_err("a mistake").to_string();
+            let told = read(&format!("{MINIMAL_FILE}{more}")).expect_err("a mistake").to_string();
             assert!(told.contains(expected), "told {told:?}, expected {expected:?}");
         }
-        let told =
-            read(&LEAST.replace("(class browse)", "(class brows)")).expect_err("a mistake").to_string();
+        let told = read(&MINIMAL_FILE.replace("(class browse)", "(class brows)"))
+            .expect_err("a mistake")
+            .to_string();
         assert!(told.contains("plan[0].class: \"brows\", expected one of the classes browse"), "{told}");
-        let told = read(&LEAST.replace("(feed 127.0.0.1:4000)", "")).expect_err("a mistake").to_string();
+        let told =
+            read(&MINIMAL_FILE.replace("(feed 127.0.0.1:4000)", "")).expect_err("a mistake").to_string();
         assert!(told.contains("either a feed or servers"), "{told}");
     }
 
     #[test]
-    fn a_watchdog_below_the_floor_is_taken_where_the_file_says_so() {
-        let text = format!("{LEAST} (timing (watchdog 500ms) (watchdog-below-floor yes))");
+    fn watchdog_below_floor_is_accepted_with_opt_in() {
+        let text = format!("{MINIMAL_FILE} (timing (watchdog 500ms) (watchdog-below-floor yes))");
         assert_eq!(read(&text).expect("a good file").service.node.timing.watchdog, 500_000);
     }
 }
--- a/crates/lemoncleat-service/src/control.rs
+++ b/crates/lemoncleat-service/src/control.rs
@@ -1,12 +1,13 @@
-//! The control port: one JSON object a line in, one out, for operators on the node's own machine.
+//! The control port: operators on the node's host send one JSON object per line and get one per line back.
 //!
 //! `{"op":"list"}`, `{"op":"circuits","server":S}`, and `{"op":"block"|"unblock"|"reset"|"audit","server":S,
-//! "first":N,"count":N,"hardware":BOOL}`, and `{"op":"renew"}` for a new certificate. `{"op":"spent"}` tells
-//! the messages and bytes of control sent and received since the start. In a fleet `{"op":"members"}`,
-//! `{"op":"agreement"}`, `{"op":"mark","order":O,"text":T}` (answered once it is agreed) and `{"op":"marks","after":N}`.
-//! Where the fleet has one configuration for all, `{"op":"configure","order":O,"parent":N,"text":T}` (answered once it is
-//! agreed, or refused), `{"op":"configuration"}` and `{"op":"configurations"}` (answered when the fleet was asked). The
-//! answer has `"ok":true`, or `"ok":false` and `"error"`.
+//! "first":N,"count":N,"hardware":BOOL}`, and `{"op":"renew"}` for a new certificate. `{"op":"spent"}`
+//! returns the messages and bytes of control sent and received since the start. In a fleet
+//! `{"op":"members"}`, `{"op":"agreement"}`, `{"op":"mark","order":O,"text":T}` (answered once it is agreed)
+//! and `{"op":"marks","after":N}`. Where the fleet has one configuration for all,
+//! `{"op":"configure","order":O,"parent":N,"text":T}` (answered once it is agreed, or refused),
+//! `{"op":"configuration"}` and `{"op":"configurations"}` (answered when the fleet was asked). The answer has
+//! `"ok":true`, or `"ok":false` and `"error"`.
 
 use lemoncleat_certificates::Keeper;
 use lemoncleat_commons::Said;
@@ -17,8 +18,8 @@
 
 use crate::fleet::FleetDriver;
 
-/// Longest line taken.
-pub(crate) const MAX_LINE: usize = 1024 * 1024;
+/// Maximum length of a line in bytes.
+pub(crate) const MAX_LINE_BYTES: usize = 1024 * 1024;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -62,13 +63,13 @@
     parent: u64,
 }
 
-/// What an operator can reach at a node.
-pub(crate) struct At<'a> {
+/// The parts of a node that control requests act on.
+pub(crate) struct ControlContext<'a> {
     pub(crate) node: &'a mut Node,
     pub(crate) keeper: Option<&'a Keeper>,
     pub(crate) fleet: Option<&'a mut FleetDriver>,
     pub(crate) now: Micros,
-    /// His connection.
+    /// The operator's connection.
     pub(crate) conn: u64,
 }
 
@@ -93,19 +94,19 @@
     }
 }
 
-/// Answers a line; nothing if the answer follows later.
+/// Handles a line and returns the answer; `None` if the answer follows later.
 pub(crate) fn answer(
-    at: &mut At<'_>,
+    context: &mut ControlContext<'_>,
     line: &[u8],
-    out: &mut Vec<Output>,
-    said: &mut Vec<Said>,
+    outputs: &mut Vec<Output>,
+    actions: &mut Vec<Said>,
 ) -> Option<Value> {
     let order = match serde_json::from_slice::<Order>(line) {
         Ok(order) => order,
         Err(error) => return Some(json!({"ok": false, "error": error.to_string()})),
     };
     Some(match order.op {
-        Op::Renew => match at.keeper {
+        Op::Renew => match context.keeper {
             Some(keeper) => {
                 keeper.renew_now();
                 json!({"ok": true})
@@ -113,7 +114,7 @@
             None => json!({"ok": false, "error": "this node's certificates do not come by ACME"}),
         },
         Op::Spent => {
-            let stats = at.node.stats();
+            let stats = context.node.stats();
             json!({
                 "ok": true,
                 "control_sent_messages": stats.control_sent_messages,
@@ -122,22 +123,24 @@
                 "control_received_bytes": stats.control_received_bytes,
             })
         }
-        Op::Members | Op::Agreement | Op::Mark | Op::Marks => return ask_fleet(at, &order, said),
-        Op::Configure | Op::Configuration | Op::Configurations => return configuration(at, order, said),
-        _ => carry_out(at.node, at.now, &order, out)
+        Op::Members | Op::Agreement | Op::Mark | Op::Marks => return ask_fleet(context, &order, actions),
+        Op::Configure | Op::Configuration | Op::Configurations => {
+            return handle_configuration_order(context, order, actions)
+        }
+        _ => perform_circuit_order(context.node, context.now, &order, outputs)
             .unwrap_or_else(|error| json!({"ok": false, "error": error})),
     })
 }
 
-fn ask_fleet(at: &mut At<'_>, order: &Order, said: &mut Vec<Said>) -> Option<Value> {
-    let Some(driver) = &mut at.fleet else {
+fn ask_fleet(context: &mut ControlContext<'_>, order: &Order, actions: &mut Vec<Said>) -> Option<Value> {
+    let Some(driver) = &mut context.fleet else {
         return Some(json!({"ok": false, "error": "this node is in no fleet"}));
     };
     let fleet = &mut driver.part;
     let answer = match order.op {
-        Op::Members => Some(fleet.members(at.now)),
+        Op::Members => Some(fleet.members(context.now)),
         Op::Marks => fleet.marks(order.after),
-        Op::Mark if fleet.mark(at.now, at.conn, &order.order, &order.text, said) => return None,
+        Op::Mark if fleet.mark(context.now, context.conn, &order.order, &order.text, actions) => return None,
         Op::Mark => None,
         _ => fleet.agreement(),
     };
@@ -147,21 +150,26 @@
     )
 }
 
-/// Orders about the configuration of the whole fleet. A text is checked on a thread of its own before it is proposed.
-fn configuration(at: &mut At<'_>, order: Order, said: &mut Vec<Said>) -> Option<Value> {
+/// Handles requests about the fleet configuration. A text is checked on a separate thread before it is
+/// proposed.
+fn handle_configuration_order(
+    context: &mut ControlContext<'_>,
+    order: Order,
+    actions: &mut Vec<Said>,
+) -> Option<Value> {
     let none = "this node has no configuration that its fleet agrees on";
-    let Some(driver) = at.fleet.as_mut() else {
+    let Some(driver) = context.fleet.as_mut() else {
         return Some(json!({"ok": false, "error": "this node is in no fleet"}));
     };
     let Some(threads) = &mut driver.configuration else { return Some(json!({"ok": false, "error": none})) };
     let error = match order.op {
-        Op::Configure if threads.check(at.conn, order.order.clone(), order.parent, order.text) => {
+        Op::Configure if threads.check(context.conn, order.order.clone(), order.parent, order.text) => {
             return None
         }
-        Op::Configure => "too many texts wait to be checked",
-        Op::Configurations if driver.part.configurations(at.now, at.conn, said) => return None,
+        Op::Configure => "too many configuration texts are waiting for a check",
+        Op::Configurations if driver.part.configurations(context.now, context.conn, actions) => return None,
         Op::Configurations => none,
-        _ => match driver.part.configuration(at.now) {
+        _ => match driver.part.configuration(context.now) {
             Some(answer) => return Some(answer),
             None => none,
         },
@@ -169,9 +177,14 @@
     Some(json!({"ok": false, "order": order.order, "error": error}))
 }
 
-fn carry_out(node: &mut Node, now: Micros, order: &Order, out: &mut Vec<Output>) -> Result<Value, String> {
+fn perform_circuit_order(
+    node: &mut Node,
+    now: Micros,
+    order: &Order,
+    outputs: &mut Vec<Output>,
+) -> Result<Value, String> {
     let hardware = order.hardware;
-    let wanted = match order.op {
+    let circuit_order = match order.op {
         Op::List => {
             let groups: Vec<Value> = node
                 .groups()
@@ -205,9 +218,9 @@
         Op::Unblock => CircuitOrder::Unblock { hardware },
         Op::Reset => CircuitOrder::Reset,
         Op::Audit => CircuitOrder::Audit,
-        _ => return Err("not about circuits".to_owned()),
+        _ => return Err("not a circuit operation".to_owned()),
     };
     let range = Range { first: order.first, count: order.count };
-    node.order(now, &order.server, range, wanted, out)?;
+    node.order(now, &order.server, range, circuit_order, outputs)?;
     Ok(json!({"ok": true}))
 }
--- a/crates/lemoncleat-service/src/feed.rs
+++ b/crates/lemoncleat-service/src/feed.rs
@@ -1,10 +1,10 @@
-//! The feed of the list of servers: newline-delimited JSON over TCP.
+//! The server list feed: newline-delimited JSON over TCP.
 //!
-//! The first line of a connection is complete, `{"revision":41,"complete":[ENTRY,...]}`; the others tell
-//! changes, `{"revision":42,"changes":[ENTRY,...]}`, each with the next revision. An entry is
-//! `{"host":"s1.example","address":"127.0.0.1:3868","state":"ready","started_ago_ms":null,"place":0,
-//! "zone":"lisboa","kind":"small"}`; the state is `ready`, `draining` or `gone`. After a gap in the
-//! revisions the node connects anew and takes the complete list.
+//! The first line of a connection holds the complete list, `{"revision":41,"complete":[ENTRY,...]}`; the
+//! following lines hold changes, `{"revision":42,"changes":[ENTRY,...]}`, each with the next revision. An
+//! entry is `{"host":"s1.example","address":"127.0.0.1:3868","state":"ready","started_ago_ms":null,"place":0,
+//! "zone":"lisboa","kind":"small"}`; the state is `ready`, `draining` or `gone`. After a gap in the revisions
+//! the node reconnects and reads the complete list.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 
 use crate::service::Control;
 
-/// Longest line taken.
-const MAX_LINE: u64 = 16 << 20;
-/// First and longest pause between connections.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
+/// Maximum length of a line in bytes.
+const MAX_LINE_BYTES: u64 = 16 << 20;
+/// First and maximum delay between connections.
+const RECONNECT_DELAY: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -58,13 +58,13 @@
 /// One line of the feed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FeedLine {
-    /// The revision that the list has after it.
+    /// The revision of the list after this line.
     pub revision: u64,
-    /// What it tells.
+    /// The complete list or the changes.
     pub news: ListNews,
 }
 
-/// A line that is not as it should be.
+/// An invalid line of the feed.
 #[derive(Debug)]
 pub struct FeedError(String);
 
@@ -94,41 +94,41 @@
     }
 }
 
-/// Reads a line of the feed.
+/// Parses a line of the feed.
 ///
 /// # Errors
 ///
-/// When it is no JSON object with a revision and either `complete` or `changes`.
+/// When it is not a JSON object with a revision and either `complete` or `changes`.
 pub fn parse_line(line: &str) -> Result<FeedLine, FeedError> {
     let text: LineText = serde_json::from_str(line).map_err(|error| FeedError(error.to_string()))?;
-    let entries = |all: Vec<EntryText>| all.into_iter().map(ListEntry::from).collect();
-    let news = match (text.complete, text.changes) {
-        (Some(all), None) => ListNews::Complete(entries(all)),
-        (None, Some(all)) => ListNews::Changes(entries(all)),
+    let entries = |list_entries: Vec<EntryText>| list_entries.into_iter().map(ListEntry::from).collect();
+    let update = match (text.complete, text.changes) {
+        (Some(list_entries), None) => ListNews::Complete(entries(list_entries)),
+        (None, Some(list_entries)) => ListNews::Changes(entries(list_entries)),
         _ => return Err(FeedError("expected either `complete` or `changes`".to_owned())),
     };
-    Ok(FeedLine { revision: text.revision, news })
+    Ok(FeedLine { revision: text.revision, news: update })
 }
 
-/// Follows the feed for good, whatever happens to its connection.
+/// Follows the feed until the node ends, reconnecting whenever the connection is lost.
 pub(crate) async fn follow(address: SocketAddr, mailbox: Mailbox<Control>) {
-    let mut pause = PAUSE.0;
+    let mut delay = RECONNECT_DELAY.0;
     loop {
-        match read(address, &mailbox, &mut pause).await {
+        match read(address, &mailbox, &mut delay).await {
             Err(None) => return,
             Err(Some(why)) => tracing::warn!(%address, %why, "list feed lost; the last list stays"),
             Ok(()) => tracing::warn!(%address, "list feed closed; the last list stays"),
         }
-        Timer::after(pause).await;
-        pause = (pause * 2).min(PAUSE.1);
+        Timer::after(delay).await;
+        delay = (delay * 2).min(RECONNECT_DELAY.1);
     }
 }
 
-/// Reads one connection to its end. The error is `None` once the node has ended.
+/// Reads one connection to its end. The error is `None` if the node has ended.
 async fn read(
     address: SocketAddr,
     mailbox: &Mailbox<Control>,
-    pause: &mut Duration,
+    delay: &mut Duration,
 ) -> Result<(), Option<String>> {
     let stream = Async::<std::net::TcpStream>::connect(address).await.map_err(|e| Some(e.to_string()))?;
     let mut reader = BufReader::new(stream);
@@ -136,27 +136,27 @@
     let mut line = Vec::new();
     loop {
         line.clear();
-        let read = (&mut reader).take(MAX_LINE).read_until(b'\n', &mut line).await;
+        let read = (&mut reader).take(MAX_LINE_BYTES).read_until(b'\n', &mut line).await;
         if read.map_err(|e| Some(e.to_string()))? == 0 {
             return Ok(());
         }
         if line.last() != Some(&b'\n') {
-            return Err(Some(format!("a line ends early or is longer than {MAX_LINE} bytes")));
+            return Err(Some(format!("line truncated or longer than {MAX_LINE_BYTES} bytes")));
         }
-        let text = std::str::from_utf8(&line).map_err(|_| Some("a line is no UTF-8".to_owned()))?;
+        let text = std::str::from_utf8(&line).map_err(|_| Some("line is not valid UTF-8".to_owned()))?;
         let parsed = parse_line(text).map_err(|error| Some(error.to_string()))?;
         match (&parsed.news, revision) {
             (ListNews::Complete(_), _) => {}
             (ListNews::Changes(_), Some(last)) if parsed.revision == last + 1 => {}
             (ListNews::Changes(_), last) => {
                 return Err(Some(format!(
-                    "revision {} follows {last:?}: something was missed",
+                    "revision {} follows {last:?}: a revision is missing",
                     parsed.revision
                 )));
             }
         }
         revision = Some(parsed.revision);
-        *pause = PAUSE.0;
+        *delay = RECONNECT_DELAY.0;
         mailbox.send(Control::List(parsed.news)).await.map_err(|_| None)?;
     }
 }
@@ -166,7 +166,7 @@
     use super::*;
 
     #[test]
-    fn lines_read_as_documented() {
+    fn documented_lines_are_parsed() {
         let line = r#"{"revision":41,"complete":[{"host":"s1.example","address":"127.0.0.1:3868","state":"ready",
             "started_ago_ms":1500,"place":2,"zone":"lisboa","kind":"small"}]}"#;
         let line = parse_line(line).expect("a good line");
@@ -182,7 +182,7 @@
     }
 
     #[test]
-    fn bad_lines_say_what_is_wrong() {
+    fn errors_of_invalid_lines_name_the_cause() {
         for (line, expected) in [
             ("{", "EOF"),
             (r#"{"revision":1}"#, "either"),
--- a/crates/lemoncleat-service/src/fleet_settings.rs
+++ b/crates/lemoncleat-service/src/fleet_settings.rs
@@ -1,4 +1,4 @@
-//! What a node's settings file says of its fleet.
+//! The fleet section of a node's settings file.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -10,40 +10,40 @@
 use lemoncleat_settings::{Error, Span};
 use serde::Deserialize;
 
-use crate::config::bad;
+use crate::config::invalid;
 
-/// Most members of a fleet.
-const MOST_MEMBERS: usize = 1024;
-/// The shortest and the longest round, in microseconds.
-const ROUNDS: std::ops::RangeInclusive<Micros> = 10_000..=60_000_000;
+/// Maximum number of members of a fleet.
+const MAX_MEMBERS: usize = 1024;
+/// Allowed round lengths, in microseconds.
+const ROUND_RANGE_US: std::ops::RangeInclusive<Micros> = 10_000..=60_000_000;
 
-/// The nodes that act as one, and this node's part among them.
+/// Fleet settings of a node: the members and this node's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetSettings {
-    /// All of its nodes, this one among them.
+    /// All nodes of the fleet, including this one.
     pub members: Vec<FleetMember>,
     /// The zone of this node.
     pub zone: Arc<str>,
-    /// Members that agree for all: none, three or five.
+    /// Members that vote on agreements for the fleet: none, three or five.
     pub voters: Vec<Arc<str>>,
-    /// The directory where a voter keeps what it promised; there if and only if this node is one.
+    /// Directory of a voter's persistent state; present if and only if this node is a voter.
     pub store: Option<PathBuf>,
-    /// How often the node talks to others, in microseconds.
+    /// Interval at which the node exchanges messages with other members, in microseconds.
     pub round: Micros,
-    /// How it is watched that all decide alike.
+    /// Settings of the check that all members make the same decisions.
     pub rules: RulesSettings,
-    /// Where the node keeps the version of the configuration in force, where the fleet has one for all.
+    /// Directory for the configuration version in force, if the fleet has a common configuration.
     pub configuration: Option<PathBuf>,
 }
 
-/// How it is watched that members of the same rules decide alike.
+/// Settings of the check that members with the same rules make the same decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RulesSettings {
-    /// Whether a node that most others find to decide otherwise refuses new calls.
+    /// Whether a node refuses new calls if most members find that its decisions differ.
     pub fence: bool,
-    /// Most of the members that may do so at once, in hundredths.
+    /// Maximum share of the members that may refuse calls for this reason at once, in hundredths.
     pub share: u32,
-    /// The share of the processor that the check may take, in thousandths.
+    /// Maximum share of processor time for the check, in thousandths.
     pub processor: u32,
 }
 
@@ -52,7 +52,7 @@
 pub struct FleetMember {
     /// Its Origin-Host.
     pub host: Arc<str>,
-    /// Where it listens for the others.
+    /// The address on which it accepts other members.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: Arc<str>,
@@ -68,7 +68,7 @@
     voters: Vec<String>,
     #[serde(default)]
     store: Option<PathBuf>,
-    #[serde(default = "round")]
+    #[serde(default = "default_round")]
     round: Span,
     #[serde(default)]
     rules: RulesFile,
@@ -99,16 +99,16 @@
 impl RulesFile {
     fn settings(&self, members: usize) -> Result<RulesSettings, Error> {
         if !(0.0..=0.5).contains(&self.share) {
-            return bad("fleet.rules.share", format!("{}, expected 0 to 0.5", self.share));
+            return invalid("fleet.rules.share", format!("{}, expected 0 to 0.5", self.share));
         }
         if !(0.001..=1.0).contains(&self.processor) {
-            return bad("fleet.rules.processor", format!("{}, expected 0.001 to 1", self.processor));
+            return invalid("fleet.rules.processor", format!("{}, expected 0.001 to 1", self.processor));
         }
         let (share, processor) = (self.share * 100.0, self.processor * 1_000.0);
         let (share, processor) = (share.round() as u32, processor.round() as u32);
         if self.fence && members.saturating_mul(share as usize) < 100 {
             let text = format!("{} of {members} members is not one: none could be fenced", self.share);
-            return bad("fleet.rules.share", text);
+            return invalid("fleet.rules.share", text);
         }
         Ok(RulesSettings { fence: self.fence, share, processor })
     }
@@ -123,14 +123,14 @@
     zone: String,
 }
 
-fn round() -> Span {
+fn default_round() -> Span {
     Span(200_000)
 }
 
 impl FleetFile {
-    /// Puts the members that the fleet agreed on in place of the file's. Where the node itself listens is its own
-    /// file's matter, and can't change while it runs.
-    pub(crate) fn put_members(
+    /// Replaces the members of the file with those that the fleet agreed on. The node's own address is
+    /// defined by its file and can't change while it runs.
+    pub(crate) fn replace_members(
         &mut self,
         own: &str,
         members: Option<Vec<MemberFile>>,
@@ -142,7 +142,7 @@
             if before != new {
                 let at = members.iter().position(|member| member.host == own).unwrap_or_default();
                 let text = format!("{new}, but this node listens at {before}: it can't change while it runs");
-                return bad(&format!("fleet.members[{at}].address"), text);
+                return invalid(&format!("fleet.members[{at}].address"), text);
             }
         }
         self.members = members;
@@ -150,63 +150,65 @@
         Ok(())
     }
 
-    /// The settings of the node that has this name.
+    /// Checks the section and returns the settings of the node with this name.
     pub(crate) fn settings(self, own: &str) -> Result<FleetSettings, Error> {
-        if self.members.len() > MOST_MEMBERS {
-            let text = format!("{} members, expected {MOST_MEMBERS} at the most", self.members.len());
-            return bad("fleet.members", text);
+        if self.members.len() > MAX_MEMBERS {
+            let text = format!("{} members, expected {MAX_MEMBERS} at the most", self.members.len());
+            return invalid("fleet.members", text);
         }
         let (mut hosts, mut addresses) = (HashSet::new(), HashSet::new());
         for (index, member) in self.members.iter().enumerate() {
             let path = |field: &str| format!("fleet.members[{index}].{field}");
-            let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
-            if member.host.is_empty() || !member.host.chars().all(fits) {
+            let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+            if member.host.is_empty() || !member.host.chars().all(is_allowed) {
                 let text = format!("{:?}, expected a name of letters, digits, '-', '_' and '.'", member.host);
-                return bad(&path("host"), text);
+                return invalid(&path("host"), text);
             }
             if !hosts.insert(member.host.as_str()) {
-                return bad(&path("host"), format!("{:?} stands twice", member.host));
+                return invalid(&path("host"), format!("{:?} is listed twice", member.host));
             }
             if !addresses.insert(member.address) {
-                return bad(&path("address"), format!("{} stands twice", member.address));
+                return invalid(&path("address"), format!("{} is listed twice", member.address));
             }
             if member.address.port() == 0 {
-                return bad(&path("address"), format!("{}, expected a port", member.address));
+                return invalid(&path("address"), format!("{}, expected a port", member.address));
             }
         }
-        let Some(me) = self.members.iter().find(|member| member.host == own) else {
-            return bad("fleet.members", format!("{own:?} is missing: this node must be one of them"));
+        let Some(own_member) = self.members.iter().find(|member| member.host == own) else {
+            return invalid("fleet.members", format!("{own:?} is missing: this node must be one of them"));
         };
-        if let Some(zone) = self.zone.as_ref().filter(|zone| **zone != me.zone) {
-            let text = format!("{zone:?}, but among the members this node is in zone {:?}", me.zone);
-            return bad("fleet.zone", text);
+        if let Some(zone) = self.zone.as_ref().filter(|zone| **zone != own_member.zone) {
+            let text = format!("{zone:?}, but among the members this node is in zone {:?}", own_member.zone);
+            return invalid("fleet.zone", text);
         }
         if ![0, 3, 5].contains(&self.voters.len()) {
             let text = format!("{} voters, expected none, three or five", self.voters.len());
-            return bad("fleet.voters", text);
+            return invalid("fleet.voters", text);
         }
         for (index, voter) in self.voters.iter().enumerate() {
             let path = format!("fleet.voters[{index}]");
             if !hosts.contains(voter.as_str()) {
-                return bad(&path, format!("{voter:?} is no member"));
+                return invalid(&path, format!("{voter:?} is no member"));
             }
             if self.voters.iter().take(index).any(|other| other == voter) {
-                return bad(&path, format!("{voter:?} stands twice"));
+                return invalid(&path, format!("{voter:?} is listed twice"));
             }
         }
         match (&self.store, self.voters.iter().any(|voter| voter == own)) {
-            (None, true) => return bad("fleet.store", "missing, expected a directory: this node is a voter"),
-            (Some(_), false) => return bad("fleet.store", "given, but this node is no voter"),
+            (None, true) => {
+                return invalid("fleet.store", "missing, expected a directory: this node is a voter")
+            }
+            (Some(_), false) => return invalid("fleet.store", "given, but this node is no voter"),
             _ => {}
         }
-        if !ROUNDS.contains(&self.round.0) {
-            return bad("fleet.round", "expected 10ms to 60s");
+        if !ROUND_RANGE_US.contains(&self.round.0) {
+            return invalid("fleet.round", "expected 10ms to 60s");
         }
         if self.configuration.is_some() && self.voters.is_empty() {
-            return bad("fleet.configuration", "given, but this fleet has no voters: nothing is agreed");
+            return invalid("fleet.configuration", "given, but this fleet has no voters: nothing is agreed");
         }
         let rules = self.rules.settings(self.members.len())?;
-        let zone = me.zone.as_str().into();
+        let zone = own_member.zone.as_str().into();
         let member = |member: MemberFile| FleetMember {
             host: member.host.into(),
             address: member.address,
@@ -225,25 +227,25 @@
 }
 
 impl FleetSettings {
-    /// The members as the node's core takes them, in the same order.
+    /// Returns the members in the form of the node's core, in the same order.
     pub fn peers(&self) -> Vec<MemberPeer> {
         let peer = |member: &FleetMember| MemberPeer { host: member.host.clone(), address: member.address };
         self.members.iter().map(peer).collect()
     }
 
-    /// The members as the fleet's cores take them, in the same order.
-    pub(crate) fn carried(&self) -> Vec<Member> {
+    /// Returns the members in the form of the fleet's cores, in the same order.
+    pub(crate) fn fleet_members(&self) -> Vec<Member> {
         let member = |member: &FleetMember| Member { name: member.host.clone(), zone: member.zone.clone() };
         self.members.iter().map(member).collect()
     }
 
-    /// That no member stands under another field of the file too.
-    pub(crate) fn apart_from(&self, named: impl Fn(&str) -> bool, field: &str) -> Result<(), Error> {
+    /// Checks that no member is also listed under another field of the file.
+    pub(crate) fn check_not_listed(&self, named: impl Fn(&str) -> bool, field: &str) -> Result<(), Error> {
         match self.members.iter().position(|member| named(&member.host)) {
             Some(at) => {
                 let host = &self.members[at].host;
                 let text = format!("{host:?} stands under {field} too, expected only one of the two");
-                bad(&format!("fleet.members[{at}].host"), text)
+                invalid(&format!("fleet.members[{at}].host"), text)
             }
             None => Ok(()),
         }
@@ -268,7 +270,7 @@
  (voters n1.example n2.example n3.example) (store "ledger") (round 500ms) (zone z1))"#;
 
     #[test]
-    fn a_fleet_is_read_and_a_file_without_one_has_none() {
+    fn fleet_section_is_read_and_is_optional() {
         let config = read(&format!("{NODE}{FLEET}")).expect("a good file");
         let fleet = config.service.fleet.expect("a fleet");
         assert_eq!((fleet.members.len(), fleet.voters.len(), fleet.round), (4, 3, 500_000));
@@ -280,9 +282,13 @@
     }
 
     #[test]
-    fn what_does_not_fit_in_a_fleet_is_told_with_its_field() {
+    fn inconsistent_fleet_settings_are_rejected_with_their_field() {
         let cases = [
-            ("(host n2.example)", "(host n1.example)", "fleet.members[1].host: \"n1.example\" stands twice"),
+            (
+                "(host n2.example)",
+                "(host n1.example)",
+                "fleet.members[1].host: \"n1.example\" is listed twice",
+            ),
             ("(host n2.example)", "(host \"n 2\")", "fleet.members[1].host: \"n 2\", expected a name"),
             (
                 "(host n4.example)",
@@ -294,11 +300,11 @@
                 "(host s.example)",
                 "fleet.members[3].host: \"s.example\" stands under servers",
             ),
-            ("127.0.0.1:3871", "127.0.0.1:3869", "fleet.members[3].address: 127.0.0.1:3869 stands twice"),
+            ("127.0.0.1:3871", "127.0.0.1:3869", "fleet.members[3].address: 127.0.0.1:3869 is listed twice"),
             ("\"n1.example\"", "n5.example", "fleet.members: \"n1.example\" is missing"),
             ("(zone z1))", "(zone z9))", "fleet.zone: \"z9\", but"),
             ("(voters n1.example", "(voters", "fleet.voters: 2 voters, expected none, three or five"),
-            ("(voters n1", "(voters n2", "fleet.voters[1]: \"n2.example\" stands twice"),
+            ("(voters n1", "(voters n2", "fleet.voters[1]: \"n2.example\" is listed twice"),
             ("(voters n1", "(voters n7", "fleet.voters[0]: \"n7.example\" is no member"),
             ("(store \"ledger\")", "", "fleet.store: missing, expected a directory"),
             (
--- a/crates/lemoncleat-service/src/lib.rs
+++ b/crates/lemoncleat-service/src/lib.rs
@@ -1,6 +1,6 @@
-//! Runs an access node: listeners, connections, the feed of the list of servers, the clock and the log
-//! around the core of `lemoncleat-node`, or around that of `lemoncleat-access` on the operators' platform. Nothing
-//! is decided here.
+//! Runs an access node: provides listeners, connections, the server list feed, the clock and the log to the
+//! core of `lemoncleat-node`, or to that of `lemoncleat-access` on the operators' platform. This crate makes
+//! no call decisions.
 
 mod access;
 mod config;
@@ -16,7 +16,7 @@
 
 pub use access::{listen_for_callers, read_access_config, serve_access, AccessControl, AccessSettings};
 pub use config::{read as read_config, read_with as read_config_with, Config, ConfigError, LogConfig};
-pub use configuration::ConfigurationNews;
+pub use configuration::ConfigurationEvent;
 pub use feed::{parse_line, FeedError, FeedLine};
 pub use fleet_settings::{FleetMember, FleetSettings, RulesSettings};
 pub use in_place::fits_in_place;
--- a/crates/lemoncleat-service/src/log.rs
+++ b/crates/lemoncleat-service/src/log.rs
@@ -1,4 +1,4 @@
-//! The log: the node's notices as tracing events, text or JSON.
+//! Logging: emits the node's notices as tracing events, as text or JSON.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -6,17 +6,17 @@
 use lemoncleat_node::{Level, Notice};
 use tracing_subscriber::EnvFilter;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Where the log goes.
+/// Destination of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogTo {
     /// Standard error.
@@ -25,12 +25,12 @@
     Output,
 }
 
-/// Sends the log there. `filter` is a level or a list of directives as tracing has them
-/// (`info`, `lemoncleat=debug`).
+/// Installs the global log output. `filter` is a level or a list of tracing directives (`info`,
+/// `lemoncleat=debug`).
 ///
 /// # Errors
 ///
-/// When the filter is not understood, or a log is set up already.
+/// When the filter is invalid, or logging is already initialised.
 pub fn init(to: LogTo, format: LogFormat, filter: &str) -> Result<(), String> {
     let filter = EnvFilter::try_new(filter).map_err(|error| format!("log filter {filter:?}: {error}"))?;
     let writer = move || match to {
@@ -42,18 +42,18 @@
         .with_writer(writer)
         .with_target(false)
         .log_internal_errors(false);
-    let done = match format {
+    let result = match format {
         LogFormat::Text => builder.try_init(),
         LogFormat::Json => builder.json().flatten_event(true).try_init(),
     };
-    done.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 /// Writes a notice to the log.
 pub(crate) fn emit(host: &str, notice: &Notice) {
     if let Notice::Call(call, session, _) = notice {
         let span = tracing::debug_span!("call", node = host, call, session = &**session);
-        let _inside = span.enter();
+        let _entered = span.enter();
         tracing::debug!("{notice}");
         return;
     }
@@ -65,16 +65,21 @@
     }
 }
 
-/// Writes what an operator should know of a node's certificates.
+/// Writes a notice about a node's certificates to the log.
 pub(crate) fn certificate(host: &str, notice: &RenewerNotice) {
-    let moment =
-        |at: i64| httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(at.clamp(0, LAST) as u64));
+    let format_time = |at: i64| {
+        httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(at.clamp(0, MAX_HTTP_DATE_S) as u64))
+    };
     match notice {
         RenewerNotice::Renewed(until) => {
-            tracing::info!(node = host, "new certificate, valid until {}", moment(*until));
+            tracing::info!(node = host, "new certificate, valid until {}", format_time(*until));
         }
         RenewerNotice::TryFailed { error, again } => {
-            tracing::warn!(node = host, "no new certificate: {error}; tried again at {}", moment(*again));
+            tracing::warn!(
+                node = host,
+                "no new certificate: {error}; tried again at {}",
+                format_time(*again)
+            );
         }
         RenewerNotice::NothingValid => {
             tracing::error!(node = host, "no valid certificate: new handshakes are refused");
@@ -82,5 +87,5 @@
     }
 }
 
-/// The last moment that such dates can tell: the end of the year 9999.
-const LAST: i64 = 253_402_300_799;
+/// The latest time in seconds since 1970 that an HTTP date can represent: the end of the year 9999.
+const MAX_HTTP_DATE_S: i64 = 253_402_300_799;
--- a/crates/lemoncleat-service/src/service.rs
+++ b/crates/lemoncleat-service/src/service.rs
@@ -1,4 +1,4 @@
-//! The event loop around a node's core.
+//! The event loop that drives a node's core.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -23,100 +23,101 @@
 use serde_json::json;
 
 use crate::config::Config;
-use crate::configuration::{ConfigurationDriver, ConfigurationNews, Done};
-use crate::fleet::{calls, figures, FleetDriver, Stored};
+use crate::configuration::{ConfigurationDriver, ConfigurationEvent, ConfigurationResult};
+use crate::fleet::{call_outcomes, fleet_figures, FleetDriver, Stored};
 use crate::{control, feed, log, FleetMember};
 
-/// Events handled before what they led to is written, and how long that may take.
-const BATCH: usize = 128;
-const BATCH_TIME: Micros = 2_000;
-/// Bytes given to the core with one look at the clock.
-const SLICE: usize = 8 * 1024;
-/// How long reading what came during a gap may take.
-const CATCH_UP: Micros = 200_000;
-/// How long after the core has stopped connections that it closed may take to write what they still hold.
-const LAST_BYTES: Micros = 2_000_000;
-/// How long clients are held at the most while it is decided what is in force at the start. The core decides well
-/// before.
-const LONGEST_HOLD: Micros = 8_000_000;
-/// Tags of the listeners for peers and for operators.
-const PEERS: u64 = 0;
-const CONTROL: u64 = 1;
-
-/// What a running node is told.
+/// Maximum number of events per batch and maximum duration of a batch, after which the output is written.
+const MAX_BATCH_EVENTS: usize = 128;
+const MAX_BATCH_US: Micros = 2_000;
+/// Maximum number of bytes passed to the core per reading of the clock.
+const INPUT_CHUNK_BYTES: usize = 8 * 1024;
+/// Time limit for reading the input that arrived during a gap.
+const CATCH_UP_LIMIT_US: Micros = 200_000;
+/// Time that closed connections may take to write their remaining bytes after the core has stopped.
+const CLOSE_LIMIT_US: Micros = 2_000_000;
+/// Maximum time that clients are held at the start until the configuration in force is known. The core
+/// normally decides well before.
+const MAX_CLIENT_HOLD_US: Micros = 8_000_000;
+/// Tags of the peer listeners and of the control port.
+const PEER_LISTENER: u64 = 0;
+const CONTROL_LISTENER: u64 = 1;
+
+/// Settings of a running node.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
     /// The core's settings.
     pub node: NodeSettings,
-    /// Where the list of servers is fed from.
+    /// Address of the server list feed.
     pub feed: Option<SocketAddr>,
-    /// Servers known from the start; a feed replaces them.
+    /// Servers known at the start; a feed replaces them.
     pub servers: Vec<ListEntry>,
-    /// TLS on every connection with peers; without it all is plain.
+    /// TLS settings for all peer connections; `None` for connections without TLS.
     pub tls: Option<TlsSettings>,
-    /// The control port; bound when the node starts.
+    /// Address of the control port, bound when the node starts.
     pub control: Option<SocketAddr>,
-    /// Seed of the node's random choices; by default from the clock.
+    /// Seed of the node's random choices; taken from the clock by default.
     pub seed: Option<u64>,
-    /// What determines its decisions: the module's settings and the plan of the core's, as read.
+    /// The rules that determine its decisions: the decision module's settings and the numbering plan, as
+    /// read.
     pub rules: Rules,
-    /// What it shares with other nodes; `None` for a node on its own.
+    /// Fleet settings; `None` for a node outside a fleet.
     pub fleet: Option<crate::FleetSettings>,
-    /// The text of the settings file, with which a configuration that the fleet agrees on is read.
+    /// The text of the settings file, which is merged with a configuration that the fleet agrees on.
     pub text: Arc<str>,
 }
 
-/// Where a node's certificate comes from.
+/// The source of a node's certificate.
 #[derive(Clone, Debug)]
 pub enum TlsSource {
-    /// Files that somebody else keeps.
+    /// Files that are maintained outside the node.
     Files(TlsFiles),
-    /// An authority, by ACME.
+    /// A certificate authority, through ACME.
     Acme(Box<KeeperSettings>),
 }
 
-/// TLS of a node.
+/// TLS settings of a node.
 #[derive(Clone, Debug)]
 pub struct TlsSettings {
-    /// Where its certificate comes from.
+    /// The source of its certificate.
     pub source: TlsSource,
-    /// The file of authorities whose certificates are trusted at peers.
+    /// File with the certificates of the authorities that are trusted for peers.
     pub authorities: PathBuf,
-    /// The oldest TLS that is spoken.
+    /// The oldest TLS version that is accepted.
     pub min: MinVersion,
-    /// Most handshakes at once.
+    /// Maximum number of concurrent handshakes.
     pub handshakes: usize,
-    /// How long one may take.
+    /// Time limit of a handshake.
     pub time: Duration,
 }
 
-/// What a running node can be asked.
+/// A request or event for a running node.
 #[derive(Debug)]
 pub enum Control {
-    /// News of the list.
+    /// A change of the server list.
     List(ListNews),
-    /// Read the certificate's files again: new handshakes use them, connections that stand live on.
+    /// Reload the certificate files. New handshakes use them; open connections are not affected.
     ReloadTls,
-    /// What the keeper of its certificates tells.
+    /// An event of the certificate keeper.
     Certificates(KeeperEvent),
-    /// Order a new certificate now.
+    /// Request a new certificate now.
     Renew,
-    /// Stop in order.
+    /// Shut down in an orderly way.
     Stop,
-    /// Do nothing for a while, as a process that gets no turn; for rehearsals.
+    /// Block the loop for a while, as in a process that is not scheduled; for rehearsals.
     Stall(Duration),
-    /// The thread that keeps what a voter promised has written a batch, or failed to.
+    /// The storage thread of a voter has written a batch, or failed to.
     Stored(u64, Result<(), String>),
-    /// What the threads of the fleet's configuration have done.
-    Configuration(ConfigurationNews),
-    /// Tell what was done so far.
+    /// A result of the fleet configuration threads.
+    Configuration(ConfigurationEvent),
+    /// Report the counters so far.
     Stats(mpsc::Sender<Stats>),
 }
 
-/// A node that can't run.
+/// The reason why a node can't run.
 #[derive(Debug)]
 pub enum ServiceError {
-    /// The decision module can't work with its settings.
+    /// The settings are invalid, or a part of the node could not be started.
     Settings(String),
     /// A socket failed.
     Io(io::Error),
@@ -139,36 +140,36 @@
     }
 }
 
-/// A node on a thread of its own.
+/// A node that runs on its own thread.
 pub struct Running {
-    /// Where it listens.
+    /// The address on which it accepts peers.
     pub address: SocketAddr,
-    /// Its control port.
+    /// The address of its control port.
     pub control_address: Option<SocketAddr>,
-    /// Where it serves files for http-01.
+    /// The address that serves http-01 challenges.
     pub challenge_address: Option<SocketAddr>,
     mailbox: Mailbox<Control>,
     thread: JoinHandle<Result<Stats, ServiceError>>,
 }
 
 impl Running {
-    /// Asks it something; nothing happens once it has ended.
+    /// Sends it a request; has no effect once it has ended.
     pub fn control(&self, control: Control) {
         let _ = self.mailbox.send_blocking(control);
     }
 
-    /// What it has done so far; `None` once it has ended.
+    /// Returns its counters; `None` once it has ended.
     pub fn stats(&self) -> Option<Stats> {
         let (sender, answer) = mpsc::channel();
         self.mailbox.send_blocking(Control::Stats(sender)).ok()?;
         answer.recv().ok()
     }
 
-    /// Stops it in order and waits for its end.
+    /// Shuts it down in an orderly way and waits for its end.
     ///
     /// # Errors
     ///
-    /// What ended it otherwise.
+    /// The error that ended it.
     pub fn stop(self) -> Result<Stats, ServiceError> {
         self.control(Control::Stop);
         self.thread
@@ -177,21 +178,21 @@
     }
 }
 
-/// What whoever started a node is told once it is there.
+/// Information about a node that has started.
 pub struct Started {
-    /// A way to reach it.
+    /// Mailbox for requests to the node.
     pub mailbox: Mailbox<Control>,
-    /// Its control port.
+    /// The address of its control port.
     pub control: Option<SocketAddr>,
-    /// Where it serves files for http-01.
+    /// The address that serves http-01 challenges.
     pub challenge: Option<SocketAddr>,
 }
 
-/// Runs a node on a thread of its own.
+/// Starts a node on its own thread.
 ///
 /// # Errors
 ///
-/// When the listener's address can't be told or the thread not be started.
+/// When the listener has no address, the thread can't be started or the node fails at its start.
 pub fn spawn(settings: ServiceSettings, listener: TcpListener) -> Result<Running, ServiceError> {
     let address = listener.local_addr()?;
     let (sender, ready) = mpsc::channel();
@@ -207,12 +208,12 @@
         }
         Err(_) => match thread.join() {
             Ok(Err(error)) => Err(error),
-            _ => Err(ServiceError::Settings("the node ended at once".to_owned())),
+            _ => Err(ServiceError::Settings("the node ended during its start".to_owned())),
         },
     }
 }
 
-/// Runs a node on the present thread until it is stopped. `ready` hears once it is there.
+/// Runs a node on the current thread until it is stopped. Calls `ready` once the node has started.
 ///
 /// # Errors
 ///
@@ -229,9 +230,9 @@
         let host = settings.node.host.clone();
         let open = Duration::from_micros(settings.node.timing.open.max(1) as u64);
         let gap = settings.node.timing.gap;
-        // Seconds grow from start to start, as RFC 6733 section 8.16 suggests.
+        // The start time in seconds increases with each start, as RFC 6733 section 8.16 suggests.
         let state_id = since_epoch.as_secs() as u32;
-        let in_force = InForce {
+        let active = ActiveConfiguration {
             members: settings.fleet.as_ref().map(|fleet| fleet.members.clone()).unwrap_or_default(),
             servers: settings.servers.clone(),
             rules: settings.rules.version(),
@@ -240,7 +241,7 @@
             Node::new(settings.node, state_id, seed).map_err(|e| ServiceError::Settings(e.to_string()))?;
         for listener in listeners {
             listener.set_nonblocking(true)?;
-            net.listen(listener, PEERS)?;
+            net.listen(listener, PEER_LISTENER)?;
         }
         if let Some(address) = settings.feed {
             net.spawn(feed::follow(address, net.sender()));
@@ -249,7 +250,7 @@
         if let Some(address) = settings.control {
             let listener = TcpListener::bind(address)?;
             control_address = Some(listener.local_addr()?);
-            net.listen(listener, CONTROL)?;
+            net.listen(listener, CONTROL_LISTENER)?;
         }
         let mailbox = net.sender();
         let start = Instant::now();
@@ -266,16 +267,16 @@
             outputs: Vec::new(),
             operators: HashMap::new(),
             gap,
-            looked: 0,
-            away: false,
+            last_clock: 0,
+            gap_pending: false,
             stopping: false,
             stopped: None,
             closing: Vec::new(),
             keeper: None,
             fleet: None,
-            said: Vec::new(),
-            in_force,
-            held: false,
+            actions: Vec::new(),
+            active,
+            clients_held: false,
         };
         service.load_tls().map_err(ServiceError::Settings)?;
         let rules = settings.rules;
@@ -283,21 +284,21 @@
         if let Some(settings) = &settings.fleet {
             let mailbox = service.net.sender();
             let stored = move |(batch, result): Stored| {
-                // Once the loop has ended there is nobody to tell.
+                // Fails only once the loop has ended, when the result no longer matters.
                 let _ = mailbox.send_blocking(Control::Stored(batch, result));
             };
             let driver = FleetDriver::new(&service.host, settings, state_id, seed, stored);
             let mut driver = driver.map_err(ServiceError::Settings)?;
-            driver.watch(rules, &settings.rules, &mut service.said);
+            driver.watch(rules, &settings.rules, &mut service.actions);
             if let Some(directory) = &settings.configuration {
                 let mailbox = service.net.sender();
-                let done = move |news| {
-                    // Once the loop has ended there is nobody to tell.
-                    let _ = mailbox.send_blocking(Control::Configuration(news));
+                let done = move |event| {
+                    // Fails only once the loop has ended, when the result no longer matters.
+                    let _ = mailbox.send_blocking(Control::Configuration(event));
                 };
                 let threads = ConfigurationDriver::start(directory, base, done);
                 driver.configuration = Some(threads.map_err(ServiceError::Settings)?);
-                service.held = true;
+                service.clients_held = true;
                 service.node.handle(0, Input::HoldClients(true), &mut service.outputs);
             }
             service.fleet = Some(driver);
@@ -305,18 +306,18 @@
         service.start_keeper().map_err(ServiceError::Settings)?;
         let challenge = service.keeper.as_ref().and_then(Keeper::challenge_address);
         ready(Started { mailbox, control: control_address, challenge });
-        service.looked = service.clock();
+        service.last_clock = service.clock();
         if !settings.servers.is_empty() {
             service.handle(Input::List(ListNews::Complete(settings.servers)));
         }
-        service.find_configuration();
+        service.load_stored_configuration();
         Ok(service.run().await)
     })
 }
 
 struct Service {
     tls: Option<TlsSettings>,
-    /// What is shown to peers.
+    /// The certificate presented to peers.
     identity: Option<Identity>,
     client_tls: Option<Arc<ClientConfig>>,
     node: Node,
@@ -325,32 +326,32 @@
     host: Arc<str>,
     open: Duration,
     outputs: Vec<Output>,
-    /// Connections of the control port, and what came on them.
+    /// Connections of the control port with their unprocessed input.
     operators: HashMap<u64, Vec<u8>>,
-    /// Two looks at the clock further apart than this have a gap between them.
+    /// Time between two clock readings from which on it counts as a gap in processing.
     gap: Micros,
-    /// The last look at the clock.
-    looked: Micros,
-    /// What came during a gap has not been read yet.
-    away: bool,
-    /// The core was told to stop.
+    /// The last reading of the clock.
+    last_clock: Micros,
+    /// The input that arrived during a gap has not been read yet.
+    gap_pending: bool,
+    /// The core was asked to stop.
     stopping: bool,
-    /// The core has stopped; when.
+    /// When the core stopped, if it has.
     stopped: Option<Micros>,
-    /// Connections that the stopping core has closed, with bytes left to write. The loop outlives them.
+    /// Connections closed by the stopping core that still have bytes to write. The loop ends after them.
     closing: Vec<u64>,
-    /// Keeps it in certificates, where they come by ACME.
+    /// Obtains and renews certificates through ACME, if so configured.
     keeper: Option<Keeper>,
-    /// Its part in a fleet.
+    /// Driver of the fleet logic, for a node in a fleet.
     fleet: Option<FleetDriver>,
-    said: Vec<Said>,
-    /// Of what is in force, what is compared with a new version.
-    in_force: InForce,
-    /// Clients wait until it is decided what is in force at the start.
-    held: bool,
+    actions: Vec<Said>,
+    /// The parts of the configuration in force that are compared with a new version.
+    active: ActiveConfiguration,
+    /// Whether clients are held until the configuration in force at the start is known.
+    clients_held: bool,
 }
 
-struct InForce {
+struct ActiveConfiguration {
     members: Vec<FleetMember>,
     servers: Vec<ListEntry>,
     rules: Digest,
@@ -361,23 +362,23 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    /// Looks at the clock, and tells the core if the loop had no turn for long before that.
-    fn turn(&mut self) -> Micros {
+    /// Reads the clock and reports to the core if the loop did not run for longer than the gap limit.
+    fn update_clock(&mut self) -> Micros {
         let now = self.clock();
-        if now - self.looked > self.gap {
-            self.node.handle(now, Input::Away(self.looked), &mut self.outputs);
-            self.away = true;
+        if now - self.last_clock > self.gap {
+            self.node.handle(now, Input::Away(self.last_clock), &mut self.outputs);
+            self.gap_pending = true;
         }
-        self.looked = now;
+        self.last_clock = now;
         now
     }
 
     fn handle(&mut self, input: Input<'_>) {
-        let now = self.turn();
+        let now = self.update_clock();
         self.node.handle(now, input, &mut self.outputs);
     }
 
-    /// Reads the files of TLS. What is in force stays so if they are not as they should be.
+    /// Loads the TLS files. If they are invalid, the previous configuration remains in use.
     fn load_tls(&mut self) -> Result<(), String> {
         let Some(tls) = &self.tls else { return Ok(()) };
         let identity = match &tls.source {
@@ -389,7 +390,7 @@
             server_config(identity.clone(), &authorities, tls.min).map_err(|error| error.to_string())?;
         let client =
             client_config(identity.clone(), &authorities, tls.min).map_err(|error| error.to_string())?;
-        self.net.listen_with_tls(PEERS, server, tls.handshakes, tls.time);
+        self.net.listen_with_tls(PEER_LISTENER, server, tls.handshakes, tls.time);
         (self.identity, self.client_tls) = (identity, Some(client));
         Ok(())
     }
@@ -398,26 +399,26 @@
         let Some(TlsSource::Acme(settings)) = self.tls.as_ref().map(|tls| &tls.source) else { return Ok(()) };
         let mailbox = self.net.sender();
         let keeper = Keeper::start((**settings).clone(), move |event| {
-            // Once the loop has ended there is nobody to tell.
+            // Fails only once the loop has ended, when the event no longer matters.
             let _ = mailbox.send_blocking(Control::Certificates(event));
         });
         self.keeper = Some(keeper?);
         Ok(())
     }
 
-    /// New handshakes show what the keeper says; connections that stand live on.
-    fn certificates(&mut self, event: KeeperEvent) {
+    /// Applies an event of the certificate keeper to new handshakes; open connections are not affected.
+    fn handle_certificate_event(&mut self, event: KeeperEvent) {
         match event {
             KeeperEvent::Present(identity) => {
                 self.identity = identity;
                 if let Err(why) = self.load_tls() {
-                    tracing::error!(node = &*self.host, %why, "the new certificate is not shown");
+                    tracing::error!(node = &*self.host, %why, "could not apply the new certificate");
                 }
             }
-            KeeperEvent::Prove(config, placed) => {
-                self.net.prove_with_tls(PEERS, config);
-                // The keeper waits for it, unless it has given up.
-                let _ = placed.try_send(());
+            KeeperEvent::Prove(config, confirmation) => {
+                self.net.prove_with_tls(PEER_LISTENER, config);
+                // The keeper waits for the confirmation, unless it has given up.
+                let _ = confirmation.try_send(());
             }
             KeeperEvent::Notice(notice) => log::certificate(&self.host, &notice),
             KeeperEvent::Complaint(why) => tracing::warn!(node = &*self.host, "{why}"),
@@ -439,7 +440,7 @@
         self.net.dial(address, tag, self.open);
     }
 
-    /// Carries out what the core asked for.
+    /// Executes the outputs of the core.
     fn perform(&mut self) {
         for output in std::mem::take(&mut self.outputs) {
             match output {
@@ -452,31 +453,33 @@
                 Output::Close(conn) => self.net.close(conn.0),
                 Output::Notice(notice) => log::emit(&self.host, &notice),
                 Output::Stopped => self.stopped = Some(self.clock()),
-                Output::Linked(member) => self.part(|part, now, said| part.linked(now, member, true, said)),
+                Output::Linked(member) => {
+                    self.with_fleet(|part, now, actions| part.linked(now, member, true, actions))
+                }
                 Output::Unlinked(member) => {
-                    self.part(|part, now, said| part.linked(now, member, false, said))
+                    self.with_fleet(|part, now, actions| part.linked(now, member, false, actions))
                 }
                 Output::Heard(member, bytes) => {
-                    self.part(|part, now, said| part.heard(now, member, &bytes, said));
+                    self.with_fleet(|part, now, actions| part.heard(now, member, &bytes, actions));
                 }
             }
         }
     }
 
-    /// Gives the fleet's part a turn and carries out what it says.
-    fn part(&mut self, turn: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
+    /// Calls the fleet logic and executes the actions that it returns.
+    fn with_fleet(&mut self, call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
         let now = self.clock();
         let Some(driver) = &mut self.fleet else { return };
-        turn(&mut driver.part, now, &mut self.said);
-        while !self.said.is_empty() {
-            for said in std::mem::take(&mut self.said) {
-                self.carry_out(now, said);
+        call(&mut driver.part, now, &mut self.actions);
+        while !self.actions.is_empty() {
+            for action in std::mem::take(&mut self.actions) {
+                self.perform_fleet_action(now, action);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Micros, said: Said) {
-        match said {
+    fn perform_fleet_action(&mut self, now: Micros, action: Said) {
+        match action {
             Said::Meet(member) => self.handle(Input::Meet(member)),
             Said::Part(member) => self.handle(Input::Part(member)),
             Said::Word(member, bytes) => self.handle(Input::Word(member, &bytes)),
@@ -488,111 +491,113 @@
                 let number = batch.number;
                 let Some(driver) = &mut self.fleet else { return };
                 if !driver.store(batch) {
-                    let why = Err("the thread that stores has ended".to_owned());
-                    driver.part.stored(now, number, why, &mut self.said);
+                    let why = Err("the storage thread has ended".to_owned());
+                    driver.part.stored(now, number, why, &mut self.actions);
                 }
             }
             Said::Fence(come_back) => self.handle(Input::Fence(come_back)),
             Said::Configure { number, text } => {
                 let Some(driver) = &mut self.fleet else { return };
                 if !driver.configuration.as_ref().is_some_and(|threads| threads.read(number, text)) {
-                    let why = Err("the thread that reads texts has ended".to_owned());
-                    driver.part.configured(now, number, why, &mut self.said);
+                    let why = Err("the configuration reader thread has ended".to_owned());
+                    driver.part.configured(now, number, why, &mut self.actions);
                 }
             }
             Said::Keep(bytes) => {
                 let Some(driver) = &mut self.fleet else { return };
-                if !driver.configuration.as_ref().is_some_and(|threads| threads.keep(bytes)) {
+                if !driver.configuration.as_ref().is_some_and(|threads| threads.store(bytes)) {
                     let why = Err("the thread that keeps the configuration has ended".to_owned());
-                    driver.part.kept(now, why, &mut self.said);
+                    driver.part.kept(now, why, &mut self.actions);
                 }
             }
-            Said::Settled => self.admit(),
+            Said::Settled => self.release_clients(),
             Said::Log(true, text) => tracing::warn!(node = &*self.host, "{text}"),
             Said::Log(false, text) => tracing::info!(node = &*self.host, "{text}"),
         }
     }
 
-    /// The fleet's part comes after all that calls want of a turn.
-    fn fleet_turn(&mut self) {
+    /// Runs due timers of the fleet logic. Called after all work for calls in a loop iteration.
+    fn run_fleet_timers(&mut self) {
         let now = self.clock();
         let due = self.fleet.as_ref().and_then(|driver| driver.part.wake());
         if due.is_some_and(|due| due <= now) {
             let stats = self.node.stats();
-            self.part(|part, now, said| {
-                part.calls(calls(&stats));
-                part.timeout(now, figures(&stats), said);
+            self.with_fleet(|part, now, actions| {
+                part.calls(call_outcomes(&stats));
+                part.timeout(now, fleet_figures(&stats), actions);
             });
         }
     }
 
-    /// Tells the fleet's part what was kept of the configuration. Before its first turn.
-    fn find_configuration(&mut self) {
+    /// Passes the stored configuration to the fleet logic. Called before its first timer.
+    fn load_stored_configuration(&mut self) {
         let threads = self.fleet.as_ref().and_then(|driver| driver.configuration.as_ref());
-        let Some(found) = threads.map(ConfigurationDriver::found) else { return };
-        self.part(|part, now, said| part.found(now, found, said));
+        let Some(found) = threads.map(ConfigurationDriver::read_stored) else { return };
+        self.with_fleet(|part, now, actions| part.found(now, found, actions));
     }
 
-    /// Calls are taken from now on.
-    fn admit(&mut self) {
-        if std::mem::take(&mut self.held) {
+    /// Stops holding clients: calls are accepted from now on.
+    fn release_clients(&mut self) {
+        if std::mem::take(&mut self.clients_held) {
             self.handle(Input::HoldClients(false));
         }
     }
 
-    fn configuration(&mut self, news: ConfigurationNews) {
-        match news.0 {
-            Done::Kept(result) => self.part(|part, now, said| part.kept(now, result, said)),
-            Done::Read { number, result } => {
-                let result = result.and_then(|config| self.put_in_force(number, *config));
-                self.part(|part, now, said| part.configured(now, number, result, said));
+    fn handle_configuration_event(&mut self, event: ConfigurationEvent) {
+        match event.0 {
+            ConfigurationResult::Stored(result) => {
+                self.with_fleet(|part, now, actions| part.kept(now, result, actions))
+            }
+            ConfigurationResult::Read { number, result } => {
+                let result = result.and_then(|config| self.apply_configuration(number, *config));
+                self.with_fleet(|part, now, actions| part.configured(now, number, result, actions));
             }
-            Done::Checked { conn, order, parent, text, result } => {
+            ConfigurationResult::Checked { conn, order, parent, text, result } => {
                 if let Some(threads) = self.fleet.as_mut().and_then(|driver| driver.configuration.as_mut()) {
                     threads.checked();
                 }
                 if !self.operators.contains_key(&conn) {
                     return;
                 }
-                self.part(|part, now, said| {
+                self.with_fleet(|part, now, actions| {
                     let error = match result {
-                        Ok(()) if part.configure(now, conn, &order, parent, &text, said) => return,
+                        Ok(()) if part.configure(now, conn, &order, parent, &text, actions) => return,
                         Ok(()) => "this fleet agrees on no configuration".to_owned(),
                         Err(why) => why,
                     };
-                    said.push(Said::Answer(conn, json!({"ok": false, "order": order, "error": error})));
+                    actions.push(Said::Answer(conn, json!({"ok": false, "order": order, "error": error})));
                 });
             }
         }
     }
 
-    /// Puts a version in force within this turn, whole or not at all.
-    fn put_in_force(&mut self, number: u64, config: Config) -> Result<(), String> {
+    /// Puts a configuration version in force within this loop iteration, completely or not at all.
+    fn apply_configuration(&mut self, number: u64, config: Config) -> Result<(), String> {
         let Config { service: new, differs, .. } = config;
         let Some((fleet, driver)) = new.fleet.zip(self.fleet.as_ref()) else {
             return Err("this node is in no fleet".to_owned());
         };
-        let members = (fleet.members != self.in_force.members).then(|| fleet.carried());
+        let members = (fleet.members != self.active.members).then(|| fleet.fleet_members());
         if let Some(members) = &members {
             driver.part.check_members(members)?;
         }
-        let now = self.turn();
+        let now = self.update_clock();
         self.node.configure(now, new.node, &mut self.outputs)?;
         if let Some(members) = members {
-            self.part(|part, now, said| part.set_members(now, members, said));
+            self.with_fleet(|part, now, actions| part.set_members(now, members, actions));
             self.handle(Input::Members(fleet.peers()));
-            self.in_force.members = fleet.members;
+            self.active.members = fleet.members;
         }
-        if new.feed.is_none() && new.servers != self.in_force.servers {
+        if new.feed.is_none() && new.servers != self.active.servers {
             self.handle(Input::List(ListNews::Complete(new.servers.clone())));
-            self.in_force.servers = new.servers;
+            self.active.servers = new.servers;
         }
         let version = new.rules.version();
-        if std::mem::replace(&mut self.in_force.rules, version) != version {
+        if std::mem::replace(&mut self.active.rules, version) != version {
             tracing::info!(node = &*self.host, "rules {version}");
-            self.part(|part, now, said| part.rules(now, new.rules, said));
+            self.with_fleet(|part, now, actions| part.rules(now, new.rules, actions));
         }
-        if self.held && !differs.is_empty() {
+        if self.clients_held && !differs.is_empty() {
             let fields = differs.join(", ");
             tracing::info!(
                 node = &*self.host,
@@ -603,14 +608,14 @@
         Ok(())
     }
 
-    /// Work of the fleet's part that nobody waits for: only where nothing else waits, and as much as its share of
-    /// the processor allows.
-    fn fleet_work(&mut self) {
+    /// Runs background work of the fleet logic: only while the loop is idle, and within its share of
+    /// processor time.
+    fn run_fleet_background_work(&mut self) {
         let now = self.clock();
         let idle = self.node.wake().is_none_or(|wake| wake > now) && self.outputs.is_empty();
         let due = self.fleet.as_ref().and_then(|driver| driver.part.work_at());
         if idle && due.is_some_and(|due| due <= now) {
-            self.part(|part, now, said| part.work(now, said));
+            self.with_fleet(|part, now, actions| part.work(now, actions));
             let ended = self.clock();
             if let Some(driver) = &mut self.fleet {
                 driver.part.worked(ended, ended - now);
@@ -619,51 +624,53 @@
     }
 
     async fn run(mut self) -> Stats {
-        let moment = |start: Instant, at: Micros| start + Duration::from_micros(at.max(0) as u64);
+        let to_instant = |start: Instant, at: Micros| start + Duration::from_micros(at.max(0) as u64);
         loop {
-            // Between two looks lies at most half a gap, so that a longer pause is seen for what it is.
-            let beat = self.looked + self.gap / 2;
-            let part = self.fleet.as_ref().map(|driver| &driver.part);
-            let part = part.into_iter().flat_map(|part| part.wake().into_iter().chain(part.work_at()));
-            let wake = self.node.wake().into_iter().chain(part).fold(beat, Micros::min);
-            let event = self.net.next(Some(moment(self.start, wake))).await;
-            self.turn();
-            let all = self.batch(event).await;
+            // Reads the clock at least every half gap, so that a longer pause is recognised as a gap.
+            let latest_check = self.last_clock + self.gap / 2;
+            let fleet = self.fleet.as_ref().map(|driver| &driver.part);
+            let fleet_timers =
+                fleet.into_iter().flat_map(|part| part.wake().into_iter().chain(part.work_at()));
+            let wake = self.node.wake().into_iter().chain(fleet_timers).fold(latest_check, Micros::min);
+            let event = self.net.next(Some(to_instant(self.start, wake))).await;
+            self.update_clock();
+            let drained = self.process_batch(event).await;
             self.handle(Input::Timeout);
-            self.fleet_turn();
-            if self.held && self.looked > LONGEST_HOLD {
+            self.run_fleet_timers();
+            if self.clients_held && self.last_clock > MAX_CLIENT_HOLD_US {
                 tracing::warn!(
                     node = &*self.host,
                     "what is in force is not decided: calls are taken as the file says"
                 );
-                self.admit();
+                self.release_clients();
             }
             self.write();
-            if self.away {
+            if self.gap_pending {
                 self.catch_up().await;
-            } else if all {
-                self.fleet_work();
+            } else if drained {
+                self.run_fleet_background_work();
                 self.write();
             }
-            if self.ended() {
+            if self.is_finished() {
                 return self.node.stats();
             }
         }
     }
 
-    /// Whether the core has stopped and what it gave for connections is written, or has had its time.
-    fn ended(&self) -> bool {
-        let late = |at: Micros| self.clock() > at + LAST_BYTES;
-        self.stopped.is_some_and(|at| self.closing.is_empty() || late(at))
+    /// Reports whether the core has stopped and its remaining bytes are written or their time limit has
+    /// passed.
+    fn is_finished(&self) -> bool {
+        let timed_out = |at: Micros| self.clock() > at + CLOSE_LIMIT_US;
+        self.stopped.is_some_and(|at| self.closing.is_empty() || timed_out(at))
     }
 
-    /// Handles an event and those that are there behind it, as far as what they lead to can wait. Tells whether
-    /// those were all.
-    async fn batch(&mut self, mut event: Option<Event<Control>>) -> bool {
-        let until = self.clock() + BATCH_TIME;
-        for _ in 0..BATCH {
+    /// Handles an event and those queued behind it, within the limits of a batch. Returns whether the queue
+    /// is empty.
+    async fn process_batch(&mut self, mut event: Option<Event<Control>>) -> bool {
+        let until = self.clock() + MAX_BATCH_US;
+        for _ in 0..MAX_BATCH_EVENTS {
             match event.take() {
-                Some(event) => self.event(event).await,
+                Some(event) => self.handle_event(event).await,
                 None => return true,
             }
             if self.clock() > until {
@@ -672,33 +679,33 @@
             event = self.net.try_next();
         }
         if let Some(event) = event {
-            self.event(event).await;
+            self.handle_event(event).await;
         }
         false
     }
 
-    /// After a gap: hands over all that came meanwhile, and tells the core when that is done.
+    /// Passes all input that arrived during a gap to the core, and reports to it when that is done.
     async fn catch_up(&mut self) {
-        while std::mem::take(&mut self.away) {
-            let until = self.clock() + CATCH_UP;
-            // What is met first may be an accepted connection, whose bytes only the second look finds.
+        while std::mem::take(&mut self.gap_pending) {
+            let until = self.clock() + CATCH_UP_LIMIT_US;
+            // The first poll may accept a connection, whose bytes only the second one finds.
             for _ in 0..2 {
                 self.net.look().await;
                 while let Some(event) = self.net.ready().await {
-                    self.batch(Some(event)).await;
+                    self.process_batch(Some(event)).await;
                     self.write();
                     if self.clock() > until {
                         break;
                     }
                 }
             }
-            // A further gap while reading: what came in that is to be read too.
-            self.turn();
+            // After a further gap during the reading, the input of that gap must be read too.
+            self.update_clock();
         }
         self.handle(Input::CaughtUp);
     }
 
-    /// Writes what there is and tells the core how much went out.
+    /// Writes all output and reports to the core how many bytes were written.
     fn write(&mut self) {
         self.perform();
         for (conn, count) in self.net.flush() {
@@ -713,29 +720,35 @@
         }
     }
 
-    /// Bytes on the control port: each whole line is answered.
-    fn operator(&mut self, conn: u64, bytes: &[u8]) {
-        let Some(mut held) = self.operators.remove(&conn) else { return };
-        held.extend_from_slice(bytes);
-        while let Some(end) = held.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = held.drain(..=end).collect();
-            let now = self.turn();
+    /// Handles input on the control port: answers each complete line.
+    fn handle_operator_input(&mut self, conn: u64, bytes: &[u8]) {
+        let Some(mut buffer) = self.operators.remove(&conn) else { return };
+        buffer.extend_from_slice(bytes);
+        while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = buffer.drain(..=end).collect();
+            let now = self.update_clock();
             let keeper = self.keeper.as_ref();
-            let mut at = control::At { node: &mut self.node, keeper, fleet: self.fleet.as_mut(), now, conn };
-            if let Some(answer) = control::answer(&mut at, &line, &mut self.outputs, &mut self.said) {
+            let mut context = control::ControlContext {
+                node: &mut self.node,
+                keeper,
+                fleet: self.fleet.as_mut(),
+                now,
+                conn,
+            };
+            if let Some(answer) = control::answer(&mut context, &line, &mut self.outputs, &mut self.actions) {
                 self.net.send(conn, format!("{answer}\n").as_bytes());
             }
         }
-        if held.len() > control::MAX_LINE {
+        if buffer.len() > control::MAX_LINE_BYTES {
             return self.net.close(conn);
         }
-        self.operators.insert(conn, held);
-        self.part(|_, _, _| {});
+        self.operators.insert(conn, buffer);
+        self.with_fleet(|_, _, _| {});
     }
 
-    async fn event(&mut self, event: Event<Control>) {
+    async fn handle_event(&mut self, event: Event<Control>) {
         match event {
-            Event::Accepted { tag: CONTROL, conn } => {
+            Event::Accepted { tag: CONTROL_LISTENER, conn } => {
                 self.operators.insert(conn, Vec::new());
             }
             Event::Accepted { conn, .. } => {
@@ -744,14 +757,16 @@
                     self.handle(Input::Secured(ConnId(conn), names));
                 }
             }
-            Event::Bytes { conn, bytes } if self.operators.contains_key(&conn) => self.operator(conn, &bytes),
+            Event::Bytes { conn, bytes } if self.operators.contains_key(&conn) => {
+                self.handle_operator_input(conn, &bytes)
+            }
             Event::Closed { conn } if self.operators.remove(&conn).is_some() => {
-                self.part(|part, _, _| part.operator_left(conn));
+                self.with_fleet(|part, _, _| part.operator_left(conn));
             }
             Event::Dialled { tag, conn } => self.handle(Input::Dialled(PeerId(tag as u32), ConnId(conn))),
             Event::DialFailed { tag, .. } => self.handle(Input::DialFailed(PeerId(tag as u32))),
             Event::Bytes { conn, bytes } => {
-                for slice in bytes.chunks(SLICE) {
+                for slice in bytes.chunks(INPUT_CHUNK_BYTES) {
                     self.handle(Input::Bytes(ConnId(conn), slice));
                 }
             }
@@ -761,16 +776,16 @@
                 Ok(()) => tracing::info!(node = &*self.host, "certificate read again"),
                 Err(why) => tracing::error!(node = &*self.host, %why, "the old certificate stays in force"),
             },
-            Event::Message(Control::Certificates(event)) => self.certificates(event),
+            Event::Message(Control::Certificates(event)) => self.handle_certificate_event(event),
             Event::Message(Control::Renew) => {
                 if let Some(keeper) = &self.keeper {
                     keeper.renew_now();
                 }
             }
             Event::Message(Control::Stored(batch, result)) => {
-                self.part(|part, now, said| part.stored(now, batch, result, said));
+                self.with_fleet(|part, now, actions| part.stored(now, batch, result, actions));
             }
-            Event::Message(Control::Configuration(news)) => self.configuration(news),
+            Event::Message(Control::Configuration(event)) => self.handle_configuration_event(event),
             Event::Message(Control::Stop) => {
                 self.stopping = true;
                 self.handle(Input::Stop);
@@ -779,7 +794,7 @@
                 let _ = answer.send(self.node.stats());
             }
             Event::Message(Control::Stall(time)) => {
-                // What was decided before is on its way; only what comes meanwhile waits.
+                // Writes earlier decisions first, so that only input during the stall is delayed.
                 self.write();
                 std::thread::sleep(time);
             }
--- a/crates/lemoncleat-service/src/shared.rs
+++ b/crates/lemoncleat-service/src/shared.rs
@@ -1,16 +1,17 @@
-//! The part of a node's settings that is the same at all nodes of a fleet: the text that the fleet agrees on.
+//! The configuration text that a fleet agrees on: the settings that are the same on all of its nodes.
 //! `docs/operate/configuration.md` describes it.
 
 use lemoncleat_settings::{from_str, Error, Size, Span};
 use serde::Deserialize;
 
-use crate::config::{bad, ClassFile, File, PrefixFile, ServerFile};
+use crate::config::{invalid, ClassFile, File, PrefixFile, ServerFile};
 use crate::fleet_settings::MemberFile;
 
-/// The longest text, in bytes.
+/// Maximum length of a text in bytes.
 pub const LONGEST_TEXT: usize = 256 * 1024;
 
-/// What a text that a fleet agrees on says. A field that it does not name stays that of each node's own file.
+/// The fields of an agreed configuration text. Fields that are not given keep the value of each node's own
+/// file.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct SharedFile {
@@ -39,7 +40,7 @@
     r#for: Option<Span>,
 }
 
-/// All limits but that of requests remembered, which can't change in place.
+/// All limits except `duplicates`, which can't change without a restart.
 #[derive(Default, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 struct LimitsShared {
@@ -49,21 +50,21 @@
     queue: Option<Size>,
 }
 
-/// Reads a text that a fleet agrees on, by itself.
+/// Parses an agreed configuration text by itself.
 ///
 /// # Errors
 ///
-/// The first mistake: what, where and what was expected. Whether the text fits a node's own file is told by
-/// [`read_config_with`](crate::read_config_with).
+/// The first error: its position, its cause and what was expected. Use
+/// [`read_config_with`](crate::read_config_with) to check a text together with a node's own file.
 pub fn shared(text: &str) -> Result<SharedFile, Error> {
     if text.len() > LONGEST_TEXT {
-        return bad("", format!("a text of {} bytes, expected {LONGEST_TEXT} at the most", text.len()));
+        return invalid("", format!("a text of {} bytes, expected {LONGEST_TEXT} at the most", text.len()));
     }
     from_str(text)
 }
 
-/// Puts one value in place of another, and notes its field if they differ.
-fn put<T: PartialEq>(to: &mut T, value: Option<T>, field: &'static str, differs: &mut Vec<&'static str>) {
+/// Replaces a value and records its field if the new value differs.
+fn replace<T: PartialEq>(to: &mut T, value: Option<T>, field: &'static str, differs: &mut Vec<&'static str>) {
     let Some(value) = value else { return };
     if *to != value {
         *to = value;
@@ -74,52 +75,53 @@
 }
 
 impl SharedFile {
-    /// Puts what the text names in place of what the file says; the fields that differ.
-    pub(crate) fn over(self, file: &mut File) -> Result<Vec<&'static str>, Error> {
+    /// Replaces the values of the file with those of the text; returns the fields that differ.
+    pub(crate) fn apply_to(self, file: &mut File) -> Result<Vec<&'static str>, Error> {
         let mut differs = Vec::new();
-        let d = &mut differs;
-        put(&mut file.clients, self.clients, "clients", d);
-        put(&mut file.servers, self.servers, "servers", d);
-        put(&mut file.classes, self.classes, "classes", d);
-        put(&mut file.plan, self.plan, "plan", d);
-        put(&mut file.nodes, self.nodes, "nodes", d);
-        put(&mut file.attempts, self.attempts, "attempts", d);
-        put(&mut file.release, self.release, "release", d);
-        put(&mut file.repeat, self.repeat, "repeat", d);
-        put(&mut file.tells_wait, self.tells_wait, "tells-wait", d);
-        put(&mut file.may_cancel, self.may_cancel, "may-cancel", d);
-        put(&mut file.come_back_after, self.come_back_after.map(Some), "come-back-after", d);
-        put(&mut file.cold.from, self.cold.from, "cold", d);
-        put(&mut file.cold.span, self.cold.span, "cold", d);
-        put(&mut file.cold.multiple, self.cold.multiple, "cold", d);
-        put(&mut file.cold.r#for, self.cold.r#for, "cold", d);
-        put(&mut file.limits.message, self.limits.message, "limits", d);
-        put(&mut file.limits.connections, self.limits.connections, "limits", d);
-        put(&mut file.limits.calls, self.limits.calls, "limits", d);
-        put(&mut file.limits.queue, self.limits.queue, "limits", d);
+        let changed = &mut differs;
+        replace(&mut file.clients, self.clients, "clients", changed);
+        replace(&mut file.servers, self.servers, "servers", changed);
+        replace(&mut file.classes, self.classes, "classes", changed);
+        replace(&mut file.plan, self.plan, "plan", changed);
+        replace(&mut file.nodes, self.nodes, "nodes", changed);
+        replace(&mut file.attempts, self.attempts, "attempts", changed);
+        replace(&mut file.release, self.release, "release", changed);
+        replace(&mut file.repeat, self.repeat, "repeat", changed);
+        replace(&mut file.tells_wait, self.tells_wait, "tells-wait", changed);
+        replace(&mut file.may_cancel, self.may_cancel, "may-cancel", changed);
+        replace(&mut file.come_back_after, self.come_back_after.map(Some), "come-back-after", changed);
+        replace(&mut file.cold.from, self.cold.from, "cold", changed);
+        replace(&mut file.cold.span, self.cold.span, "cold", changed);
+        replace(&mut file.cold.multiple, self.cold.multiple, "cold", changed);
+        replace(&mut file.cold.r#for, self.cold.r#for, "cold", changed);
+        replace(&mut file.limits.message, self.limits.message, "limits", changed);
+        replace(&mut file.limits.connections, self.limits.connections, "limits", changed);
+        replace(&mut file.limits.calls, self.limits.calls, "limits", changed);
+        replace(&mut file.limits.queue, self.limits.queue, "limits", changed);
         match (&mut file.fleet, self.members) {
-            (Some(fleet), members) => fleet.put_members(&file.host, members, d)?,
-            (None, Some(_)) => return bad("members", "this node is in no fleet"),
+            (Some(fleet), members) => fleet.replace_members(&file.host, members, changed)?,
+            (None, Some(_)) => return invalid("members", "this node is in no fleet"),
             (None, None) => {}
         }
         Ok(differs)
     }
 }
 
-/// A mistake with its place in the text, where its field stands there: what does not fit together has none
-/// yet.
-pub(crate) fn placed(text: &str, mut error: Error) -> Error {
+/// Adds to an error without a position that of its field in the text, if the field is there. Errors of the
+/// consistency checks have no position of their own.
+pub(crate) fn with_place(text: &str, mut error: Error) -> Error {
     if let Some(path) = error.path.strip_prefix("fleet.members") {
         error.path = format!("members{path}");
     }
-    // A node's number is its own file's; in the agreed text it is the number of nodes that it does not fit.
+    // A node's number is set in its own file; the conflicting field of the agreed text is the number of
+    // nodes.
     let path = if error.path == "number" { "nodes" } else { &error.path };
-    error.place = error.place.or_else(|| place(text, path));
+    error.place = error.place.or_else(|| find_place(text, path));
     error
 }
 
-/// Where a field such as `plan[2].class` stands, or what is nearest to it from above.
-fn place(text: &str, path: &str) -> Option<(usize, usize)> {
+/// Returns the position of a field such as `plan[2].class`, or of its closest enclosing form.
+fn find_place(text: &str, path: &str) -> Option<(usize, usize)> {
     let mut forms = Vec::new();
     let mut parser = lexpr::Parser::from_str(text);
     while let Ok(Some(datum)) = parser.next_datum() {
--- a/crates/lemoncleat-service/tests/access_end.rs
+++ b/crates/lemoncleat-service/tests/access_end.rs
@@ -1,5 +1,5 @@
-//! The end of an access node, with real connections. What is to come in its last instant is done from within the
-//! loop's own thread, where it tells that it is done: no later and no sooner.
+//! Shutdown of an access node with real connections. Input of the last moment is sent from the loop's own
+//! thread, while it logs its final figures, so that it arrives exactly at the end.
 
 use std::fmt;
 use std::io::{ErrorKind, Read, Write};
@@ -17,8 +17,8 @@
 use tracing::span::{Attributes, Id, Record};
 use tracing::{Event, Metadata, Subscriber};
 
-/// How long a test waits for something that comes, before it fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which a test fails that waits for input.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const OFFER: &str = "fedcba9876543210\r\nc=IN IP4 10.9.9.9\r\nm=audio 7000 RTP/AVP 0\r\n";
 
 fn config(server: SocketAddr) -> NodeConfig {
@@ -43,7 +43,7 @@
     )
 }
 
-/// A call server that refuses every set-up as busy.
+/// Starts a call server that refuses every set-up as busy.
 fn call_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -82,23 +82,24 @@
     address
 }
 
-type Act = Box<dyn FnOnce() + Send>;
+type Action = Box<dyn FnOnce() + Send>;
 
-/// Acts once, in the thread that logs, where the node tells its last figures.
-struct AtTheEnd {
-    act: Mutex<Option<Act>>,
+/// A log subscriber that calls `act` once, in the logging thread, when the stopping node logs its final
+/// figures.
+struct ShutdownHook {
+    act: Mutex<Option<Action>>,
     ending: Mutex<bool>,
 }
 
-struct Text(String);
+struct LogText(String);
 
-impl Visit for Text {
+impl Visit for LogText {
     fn record_debug(&mut self, _: &Field, value: &dyn fmt::Debug) {
         self.0 += &format!("{value:?}");
     }
 }
 
-impl Subscriber for AtTheEnd {
+impl Subscriber for ShutdownHook {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
@@ -108,7 +109,7 @@
     fn record(&self, _: &Id, _: &Record<'_>) {}
     fn record_follows_from(&self, _: &Id, _: &Id) {}
     fn event(&self, event: &Event<'_>) {
-        let mut text = Text(String::new());
+        let mut text = LogText(String::new());
         event.record(&mut text);
         let mut ending = self.ending.lock().expect("one thread");
         if text.0.contains("ending in order") {
@@ -123,13 +124,13 @@
     fn exit(&self, _: &Id) {}
 }
 
-/// A node that runs, what stops it, and its end.
-fn start(listener: TcpListener, act: Act) -> (Mailbox<AccessControl>, JoinHandle<()>) {
+/// Starts a node; returns its mailbox and thread.
+fn start(listener: TcpListener, act: Action) -> (Mailbox<AccessControl>, JoinHandle<()>) {
     let settings =
         AccessSettings { config: config(call_server()), file: PathBuf::new(), trace: false, fleet: false };
     let (sender, ready) = channel();
     let handle = thread::spawn(move || {
-        let subscriber = AtTheEnd { act: Mutex::new(Some(act)), ending: Mutex::new(false) };
+        let subscriber = ShutdownHook { act: Mutex::new(Some(act)), ending: Mutex::new(false) };
         tracing::subscriber::with_default(subscriber, || {
             serve_access(settings, listener, |mailbox| sender.send(mailbox).expect("the test waits"))
                 .expect("it runs");
@@ -138,19 +139,19 @@
     (ready.recv().expect("it starts"), handle)
 }
 
-/// All that comes up to an end in order.
-fn all(mut stream: &TcpStream) -> String {
+/// Reads to the end of input; fails if the connection was reset.
+fn read_to_end(mut stream: &TcpStream) -> String {
     let mut text = String::new();
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
     stream.read_to_string(&mut text).expect("an end in order");
     text
 }
 
 #[test]
-fn set_ups_whose_last_byte_comes_as_the_node_is_done_are_answered() {
+fn set_ups_completed_during_shutdown_are_answered() {
     let listener = listen_for_callers("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let address = listener.local_addr().expect("bound");
-    // Each has its set-up cut at another byte; the last ones connect only in the last instant.
+    // Each set-up is cut at another byte; further callers connect only at the end.
     let length = invite(0).len();
     let callers: Vec<_> = (0..length)
         .map(|at| {
@@ -159,42 +160,42 @@
             Arc::new(stream)
         })
         .collect();
-    let new = Arc::new(Mutex::new(Vec::new()));
-    let (rests, late) = (callers.clone(), new.clone());
+    let new_callers = Arc::new(Mutex::new(Vec::new()));
+    let (open_callers, late_callers) = (callers.clone(), new_callers.clone());
     let (mailbox, node) = start(
         listener,
         Box::new(move || {
-            for (at, stream) in rests.into_iter().enumerate() {
+            for (at, stream) in open_callers.into_iter().enumerate() {
                 (&*stream).write_all(&invite(at).as_bytes()[at..]).expect("written");
             }
             for id in length..length + 20 {
                 let mut stream = TcpStream::connect(address).expect("it listens");
                 stream.write_all(invite(id).as_bytes()).expect("written");
-                late.lock().expect("one thread").push(stream);
+                late_callers.lock().expect("one thread").push(stream);
             }
         }),
     );
     mailbox.send_blocking(AccessControl::Stop).expect("it runs");
     for (at, stream) in callers.into_iter().enumerate() {
-        let text = all(&stream);
+        let text = read_to_end(&stream);
         assert!(
             text.starts_with("SIP/2.0 503") && text.matches("SIP/2.0 ").count() == 1,
             "cut at {at}: {text}"
         );
     }
     node.join().expect("it ends");
-    for stream in new.lock().expect("the node is gone").drain(..) {
-        let text = all(&stream);
+    for stream in new_callers.lock().expect("the node is gone").drain(..) {
+        let text = read_to_end(&stream);
         assert!(text.starts_with("SIP/2.0 503") && text.matches("SIP/2.0 ").count() == 1, "new: {text}");
     }
 }
 
 #[test]
-fn answers_to_a_caller_that_reads_late_are_written_before_the_node_ends() {
-    const TESTS: usize = 3_000;
+fn answers_to_a_slow_reader_are_written_before_shutdown() {
+    const REQUEST_COUNT: usize = 3_000;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    // Little room in the system: most answers wait in the node.
+    // Small kernel buffers, so that most answers wait in the node.
     set_socket_send_buffer_size(&listener, 32 * 1_024).expect("a socket");
     set_socket_recv_buffer_size(&listener, 1 << 20).expect("a socket");
     let mut stream = TcpStream::connect(address).expect("it listens");
@@ -202,15 +203,15 @@
         listener,
         Box::new({
             let mut writing = stream.try_clone().expect("a socket");
-            // More comes, and is not for the loop any more once it ends.
+            // Input after the end of the loop is no longer handled.
             move || writing.write_all(b"OPTIONS sip:ping@net SIP/2.0\r\n").expect("written")
         }),
     );
-    let test =
+    let request =
         "OPTIONS sip:ping@net SIP/2.0\r\nCall-ID: 00000000000000aa\r\nCSeq: 1 OPTIONS\r\nContent-Length: 0\r\n\r\n";
-    stream.write_all(test.repeat(TESTS).as_bytes()).expect("written");
+    stream.write_all(request.repeat(REQUEST_COUNT).as_bytes()).expect("written");
     mailbox.send_blocking(AccessControl::Stop).expect("it runs");
-    // Nothing is read before the node listens no more: its end has begun.
+    // Reads only after the node has closed its listener, that is, has begun its shutdown.
     loop {
         match TcpStream::connect(address) {
             Ok(_) => thread::yield_now(),
@@ -218,7 +219,7 @@
             Err(error) => panic!("{error}"),
         }
     }
-    assert_eq!(all(&stream).matches("SIP/2.0 ").count(), TESTS);
+    assert_eq!(read_to_end(&stream).matches("SIP/2.0 ").count(), REQUEST_COUNT);
     let _ = stream.shutdown(Shutdown::Both);
     node.join().expect("it ends");
 }
--- a/crates/lemoncleat-service/tests/common/mod.rs
+++ b/crates/lemoncleat-service/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Messages that the ends played by hand send.
+//! Diameter messages of the simulated peers.
 
 #![allow(dead_code, missing_docs)]
 
@@ -10,7 +10,7 @@
         .add_str(d::ORIGIN_HOST, host)
         .add_str(d::ORIGIN_REALM, "example")
         .add_u32(d::VENDOR_ID, 0)
-        .add_str(d::PRODUCT_NAME, "by hand")
+        .add_str(d::PRODUCT_NAME, "test peer")
         .add_u32(d::AUTH_APPLICATION_ID, d::APP_NAS)
         .build()
 }
@@ -26,7 +26,7 @@
         .build()
 }
 
-/// A set-up by "client.example", whose caller waits for so many milliseconds.
+/// A set-up request of "client.example" with the caller's patience in milliseconds.
 pub fn aar(session: &str, id: u32, patience: u32) -> Vec<u8> {
     MessageBuilder::request(d::CMD_AA, d::APP_NAS, true, id, id)
         .add_str(d::SESSION_ID, session)
--- a/crates/lemoncleat-service/tests/configuration.rs
+++ b/crates/lemoncleat-service/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration of a fleet on sockets: agreed, put in force under a standing call, kept, and had again
-//! at a start.
+//! Fleet configuration with real sockets: a version is agreed, put in force during an established call,
+//! stored, and loaded at the next start.
 
 mod common;
 
@@ -14,28 +14,29 @@
 use lemoncleat_service::{read_config, spawn, Running};
 use serde_json::{json, Value};
 
-/// How long a test waits for something that comes soon, before it fails.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Voters, and the node that is looked at, which is none: what it knows at a start is what it kept.
-const NODES: usize = 4;
-const LOOKED_AT: usize = 3;
+/// Time after which a test fails that waits for a message or state.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// Number of nodes, and the index of the observed one. It is not a voter, so that all it knows at its start
+/// comes from its stored copy.
+const NODE_COUNT: usize = 4;
+const OBSERVED: usize = 3;
 
-struct End {
+struct PeerConnection {
     stream: TcpStream,
     reader: FrameReader,
 }
 
-impl End {
-    fn new(stream: TcpStream) -> End {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        End { stream, reader: FrameReader::new(1 << 17) }
+impl PeerConnection {
+    fn new(stream: TcpStream) -> PeerConnection {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+        PeerConnection { stream, reader: FrameReader::new(1 << 17) }
     }
 
     fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("it is written");
     }
 
-    /// The next message of this kind; a watchdog met on the way is answered.
+    /// Returns the next message of this kind and answers watchdogs received before it.
     fn until(&mut self, name: &str) -> Vec<u8> {
         loop {
             while let Some(frame) = self.reader.next_frame().expect("Diameter").map(<[u8]>::to_vec) {
@@ -50,22 +51,22 @@
                 }
             }
             let mut buffer = vec![0; 1 << 16];
-            let count = self.stream.read(&mut buffer).expect("something comes");
-            assert!(count > 0, "closed while {name} was waited for");
+            let count = self.stream.read(&mut buffer).expect("a message is received");
+            assert!(count > 0, "connection closed while waiting for {name}");
             self.reader.push(&buffer[..count]);
         }
     }
 }
 
-fn client(node: &Running) -> End {
-    let mut client = End::new(TcpStream::connect(node.address).expect("it listens"));
+fn client(node: &Running) -> PeerConnection {
+    let mut client = PeerConnection::new(TcpStream::connect(node.address).expect("it listens"));
     client.send(&cer("client.example"));
     client.until("CEA");
     client
 }
 
-/// Why a call to a number of the file's plan fails, with no server there.
-fn told(node: &Running) -> String {
+/// Returns the error message of a call to a number of the file's plan, with no server available.
+fn error_of_call(node: &Running) -> String {
     let mut client = client(node);
     client.send(&aar("s;1", 7, 300));
     let answer = client.until("AAA");
@@ -79,7 +80,7 @@
 impl Operator {
     fn of(node: &Running) -> Operator {
         let stream = TcpStream::connect(node.control_address.expect("a control port")).expect("it listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         Operator(BufReader::new(stream))
     }
 
@@ -90,15 +91,15 @@
         serde_json::from_str(&line).expect("JSON")
     }
 
-    /// Asks until the answer is as wanted.
-    fn until(&mut self, order: &Value, wanted: impl Fn(&Value) -> bool) -> Value {
+    /// Repeats a request until the answer is as expected.
+    fn until(&mut self, order: &Value, is_expected: impl Fn(&Value) -> bool) -> Value {
         let began = Instant::now();
         loop {
             let answer = self.ask(order);
-            if wanted(&answer) {
+            if is_expected(&answer) {
                 return answer;
             }
-            assert!(began.elapsed() < PATIENCE, "{order}: {answer}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{order}: {answer}");
         }
     }
 }
@@ -111,21 +112,21 @@
 }
 
 fn start(
-    place: usize,
+    index: usize,
     directory: &Path,
     server: SocketAddr,
     members: &[SocketAddr],
-    at: TcpListener,
+    listener: TcpListener,
 ) -> Running {
     let listed: String = members
         .iter()
         .enumerate()
         .map(|(n, address)| format!("(member (host n{n}.example) (address {address}) (zone z{n}))"))
         .collect();
-    let own = directory.join(format!("n{place}")).display().to_string();
-    let store = if place == LOOKED_AT { String::new() } else { format!("(store \"{own}/ledger\")") };
+    let own = directory.join(format!("n{index}")).display().to_string();
+    let store = if index == OBSERVED { String::new() } else { format!("(store \"{own}/ledger\")") };
     let text = format!(
-        "(host n{place}.example) (realm example) (listen 127.0.0.1:0) (plain yes) (control 127.0.0.1:0)
+        "(host n{index}.example) (realm example) (listen 127.0.0.1:0) (plain yes) (control 127.0.0.1:0)
          (servers (server (host server.example) (address {server}))) (clients client.example)
          (timing (drain 100ms) (close 100ms))
          (classes (class (name browse) (aim 1500ms) (deadline 9s) (worth 1)))
@@ -134,7 +135,7 @@
           (configuration (store \"{own}/kept\")))"
     );
     let config = read_config(&text).expect("good settings");
-    spawn(config.service, at).expect("it starts")
+    spawn(config.service, listener).expect("it starts")
 }
 
 fn port() -> TcpListener {
@@ -145,7 +146,7 @@
     listener.local_addr().expect("an address")
 }
 
-/// Whether a version is in force, and no longer only on trial.
+/// Reports whether a version is in force and its trial has ended.
 fn settled(state: &Value, number: u64) -> bool {
     state["in_force"] == number && state["phase"] != "trial"
 }
@@ -153,25 +154,25 @@
 const NO_ROUTE: &str = "no route for the number called";
 
 #[test]
-fn a_version_comes_in_force_under_a_call_and_is_had_again_from_the_kept_copy() {
+fn version_is_put_in_force_during_a_call_and_loaded_from_the_stored_copy() {
     let directory = directory("kept");
     let server = port();
-    let listeners: Vec<TcpListener> = (0..NODES).map(|_| port()).collect();
+    let listeners: Vec<TcpListener> = (0..NODE_COUNT).map(|_| port()).collect();
     let members: Vec<SocketAddr> = listeners.iter().map(address).collect();
     let nodes = listeners.into_iter().enumerate();
-    let away = address(&port());
+    let unreachable = address(&port());
     let mut nodes: Vec<Running> = nodes
-        .map(|(place, at)| {
-            let server = if place == LOOKED_AT { address(&server) } else { away };
-            start(place, &directory, server, &members, at)
+        .map(|(index, listener)| {
+            let server = if index == OBSERVED { address(&server) } else { unreachable };
+            start(index, &directory, server, &members, listener)
         })
         .collect();
-    let node = nodes.remove(LOOKED_AT);
-    let mut server = End::new(server.accept().expect("the node dials").0);
+    let node = nodes.remove(OBSERVED);
+    let mut server = PeerConnection::new(server.accept().expect("the node dials").0);
     let request = server.until("CER");
     let request = MessageRef::parse(&request).expect("a CER");
     server.send(&capabilities(MessageBuilder::answer(&request, 2001), "server.example"));
-    // A call stands.
+    // A call is established.
     let mut caller = client(&node);
     caller.send(&aar("s;1", 1, 3_000));
     let request = server.until("AAR");
@@ -188,7 +189,7 @@
     operator.until(&json!({"op": "configuration"}), |answer| settled(answer, 1));
     let versions = operator.ask(&json!({"op": "configurations"}));
     assert_eq!((&versions["ok"], &versions["newest"]), (&json!(true), &json!(1)), "{versions}");
-    // The call is still there, and new ones go by the new plan.
+    // The call is still established, and new calls use the new plan.
     caller.send(&aar("s;2", 2, 3_000));
     let answer = caller.until("AAA");
     let answer = MessageRef::parse(&answer).expect("an AAA");
@@ -205,10 +206,10 @@
     assert_eq!(MessageRef::parse(&answer).expect("an STA").result_code(), code::SUCCESS);
     server.until("STR");
 
-    // A member more, and a voter less.
+    // Adds a member, then tries to remove a voter.
     let list = |hosts: &[&str]| -> String {
         let member = |(at, host): (usize, &&str)| {
-            format!("(member (host {host}) (address {}))", members.get(at).unwrap_or(&away))
+            format!("(member (host {host}) (address {}))", members.get(at).unwrap_or(&unreachable))
         };
         hosts.iter().enumerate().map(member).collect()
     };
@@ -224,10 +225,10 @@
     let error = answer["error"].as_str().unwrap_or_default();
     assert!(error.contains("fleet.voters[2]: \"n2.example\" is no member"), "{answer}");
 
-    let kept = directory.join(format!("n{LOOKED_AT}/kept/configuration"));
+    let kept = directory.join(format!("n{OBSERVED}/kept/configuration"));
     let began = Instant::now();
     while !kept.exists() {
-        assert!(began.elapsed() < PATIENCE, "it is kept");
+        assert!(began.elapsed() < TEST_TIMEOUT, "the version was not stored");
     }
     drop((caller, server));
     node.stop().expect("it stops");
@@ -235,35 +236,35 @@
         node.stop().expect("it stops");
     }
 
-    let alone = || start(LOOKED_AT, &directory, away, &members, port());
-    // The kept copy is in force before the first call; what a write left unfinished is not looked at.
+    let alone = || start(OBSERVED, &directory, unreachable, &members, port());
+    // The stored copy is in force before the first call, and an unfinished write is ignored.
     std::fs::write(kept.with_extension("new"), "half of a wr").expect("a file");
     let node = alone();
-    assert_eq!(told(&node), NO_ROUTE);
+    assert_eq!(error_of_call(&node), NO_ROUTE);
     let state = Operator::of(&node).ask(&json!({"op": "configuration"}));
     assert_eq!((&state["in_force"], &state["source"]), (&json!(2), &json!("kept")), "{state}");
     node.stop().expect("it stops");
-    // A torn one is not used.
+    // A truncated copy is not used.
     let whole = std::fs::read(&kept).expect("the kept copy");
     std::fs::write(&kept, &whole[..whole.len() / 2]).expect("a file");
     let node = alone();
-    assert_ne!(told(&node), NO_ROUTE);
+    assert_ne!(error_of_call(&node), NO_ROUTE);
     let state = Operator::of(&node).ask(&json!({"op": "configuration"}));
     assert!(state["in_force"] != 2 && state["source"] == "file", "{state}");
     node.stop().expect("it stops");
-    // Nor one that was never there.
+    // Without a stored copy the file's settings are used.
     std::fs::remove_file(&kept).expect("it was there");
     let node = alone();
-    assert_ne!(told(&node), NO_ROUTE);
+    assert_ne!(error_of_call(&node), NO_ROUTE);
     node.stop().expect("it stops");
     std::fs::remove_dir_all(&directory).expect("it was there");
 }
 
 #[test]
-fn a_text_that_can_not_be_used_is_refused_before_it_is_proposed() {
+fn unusable_text_is_refused_before_it_is_proposed() {
     let directory = directory("refused");
-    let members: Vec<SocketAddr> = (0..NODES).map(|_| address(&port())).collect();
-    let node = start(LOOKED_AT, &directory, address(&port()), &members, port());
+    let members: Vec<SocketAddr> = (0..NODE_COUNT).map(|_| address(&port())).collect();
+    let node = start(OBSERVED, &directory, address(&port()), &members, port());
     let mut operator = Operator::of(&node);
     let cases = [
         ("(nodes 2)\n(host other.example)", "text:2:2: unknown field `host`"),
@@ -282,7 +283,7 @@
 }
 
 #[test]
-fn a_node_without_such_a_configuration_says_so() {
+fn node_outside_a_fleet_refuses_configuration_requests() {
     let text = "(host node.example) (realm example) (listen 127.0.0.1:0) (plain yes) (control 127.0.0.1:0)
          (feed 127.0.0.1:1) (clients client.example)
          (classes (class (name browse) (aim 1500ms) (deadline 9s) (worth 1)))
--- a/crates/lemoncleat-service/tests/endings.rs
+++ b/crates/lemoncleat-service/tests/endings.rs
@@ -1,4 +1,4 @@
-//! What ends on sockets: a node, with a peer that reads slowly, and the connection of the list feed.
+//! Shutdown of a node whose peer reads slowly, and loss of the list feed's connection, on real sockets.
 
 mod common;
 
@@ -11,36 +11,36 @@
 use lemoncleat_diameter::{FrameReader, MessageBuilder, MessageRef};
 use lemoncleat_service::{read_config, spawn, Control};
 
-/// How long a test waits for something that comes at once, before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Requests whose answers are together more than the kernel holds for a connection that nobody reads.
-const REQUESTS: u32 = 400;
-/// Length of their Session-Id, which each answer has too.
-const SESSION: usize = 60_000;
+/// Time after which a test fails that waits for a message.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Number of requests whose answers together exceed the kernel's buffers of a connection that is not read.
+const REQUEST_COUNT: u32 = 400;
+/// Length of the Session-Id, which each answer repeats.
+const SESSION_ID_LENGTH: usize = 60_000;
 
-struct End {
+struct PeerConnection {
     stream: TcpStream,
     reader: FrameReader,
 }
 
-impl End {
-    fn new(stream: TcpStream) -> End {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        End { stream, reader: FrameReader::new(1 << 17) }
+impl PeerConnection {
+    fn new(stream: TcpStream) -> PeerConnection {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+        PeerConnection { stream, reader: FrameReader::new(1 << 17) }
     }
 
     fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("it is written");
     }
 
-    /// The next message; `None` once the node has closed the connection.
+    /// Returns the next message; `None` once the node has closed the connection.
     fn next(&mut self) -> Option<Vec<u8>> {
         loop {
             if let Some(frame) = self.reader.next_frame().expect("Diameter") {
                 return Some(frame.to_vec());
             }
             let mut buffer = vec![0; 1 << 16];
-            let count = self.stream.read(&mut buffer).expect("something comes");
+            let count = self.stream.read(&mut buffer).expect("a message is received");
             if count == 0 {
                 return None;
             }
@@ -50,22 +50,23 @@
 
     fn until(&mut self, name: &str) -> Vec<u8> {
         loop {
-            let frame = self.next().expect("the connection stands");
-            if short(&frame) == name {
+            let frame = self.next().expect("the connection is open");
+            if message_name(&frame) == name {
                 return frame;
             }
         }
     }
 }
 
-fn short(frame: &[u8]) -> &'static str {
+fn message_name(frame: &[u8]) -> &'static str {
     let head = MessageRef::parse(frame).expect("a message").header;
     d::short_name(head.command, head.is_request())
 }
 
-/// The client reads nothing until the node has closed its connection and has nothing else to wait for.
+/// A stopping node must not end before its last answers are written. The client starts to read only after the
+/// node has closed the connection and has nothing else to wait for.
 #[test]
-fn a_node_that_stops_outlives_the_last_answers_to_a_client_that_reads_late() {
+fn stopping_node_writes_last_answers_to_a_client_that_reads_late() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let text = format!(
@@ -78,21 +79,21 @@
     let config = read_config(&text).expect("good settings");
     let node =
         spawn(config.service, TcpListener::bind(config.listen[0]).expect("a port")).expect("it starts");
-    let mut server = End::new(listener.accept().expect("the node dials").0);
+    let mut server = PeerConnection::new(listener.accept().expect("the node dials").0);
     let request = server.next().expect("a CER");
     let request = MessageRef::parse(&request).expect("a CER");
     server.send(&capabilities(MessageBuilder::answer(&request, 2001), "server.example"));
-    let mut client = End::new(TcpStream::connect(node.address).expect("it listens"));
+    let mut client = PeerConnection::new(TcpStream::connect(node.address).expect("it listens"));
     client.send(&cer("client.example"));
     client.until("CEA");
-    // No route for the number: each is answered at once.
-    for id in 0..REQUESTS {
-        let session = format!("{id:0SESSION$}");
+    // There is no route for the number, so that each request is answered at once.
+    for id in 0..REQUEST_COUNT {
+        let session = format!("{id:0SESSION_ID_LENGTH$}");
         client.send(&aar(&session, id, 9_000));
     }
-    while node.stats().expect("it runs").turned_away < u64::from(REQUESTS) {}
+    while node.stats().expect("it runs").turned_away < u64::from(REQUEST_COUNT) {}
     node.control(Control::Stop);
-    // The node leaves its servers when the connections of its clients are closed.
+    // The node disconnects from its servers once the connections of its clients are closed.
     let request = server.until("DPR");
     let request = MessageRef::parse(&request).expect("a DPR");
     let answer = MessageBuilder::answer(&request, 2001)
@@ -102,9 +103,9 @@
     assert_eq!(server.next(), None, "nothing else is left to wait for");
     let mut answers = 0;
     while let Some(frame) = client.next() {
-        answers += u32::from(short(&frame) == "AAA");
+        answers += u32::from(message_name(&frame) == "AAA");
     }
-    assert_eq!(answers, REQUESTS);
+    assert_eq!(answers, REQUEST_COUNT);
     node.stop().expect("it has stopped");
 }
 
@@ -120,14 +121,14 @@
     format!("{{\"revision\":{revision},\"changes\":[{}]}}\n", entries.join(","))
 }
 
-/// A change that breaks off at its first, a middle and its last byte, a line that can't be read and a missed
-/// revision: each ends the connection, none is taken in part, and the complete list of the next connection
-/// is.
+/// A change cut off after its first byte, in the middle or before its line end, an invalid line or a missed
+/// revision must end the connection without being applied in part; the complete list of the next connection
+/// must be applied.
 #[test]
-fn a_change_that_breaks_off_or_can_not_be_read_is_not_taken_and_the_next_complete_list_is() {
+fn incomplete_or_invalid_change_is_not_applied_and_the_next_complete_list_is() {
     let feed = TcpListener::bind("127.0.0.1:0").expect("a port");
     let first = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let never = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let unlisted = TcpListener::bind("127.0.0.1:0").expect("a port");
     let last = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = |listener: &TcpListener| listener.local_addr().expect("an address");
     let text = format!(
@@ -141,7 +142,7 @@
     let node =
         spawn(config.service, TcpListener::bind(config.listen[0]).expect("a port")).expect("it starts");
     let known = entry("first.example", address(&first));
-    let change = changes(2, &[entry("never.example", address(&never))]);
+    let change = changes(2, &[entry("never.example", address(&unlisted))]);
     let broken = [1, change.len() / 2, change.len() - 1].map(|at| change[..at].to_owned());
     let unreadable = [
         change.replace("\"state\"", "\"more\":1,\"state\""),
@@ -150,22 +151,22 @@
     ];
     for line in broken.iter().chain(&unreadable) {
         let mut stream: TcpStream = feed.accept().expect("the node comes again").0;
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
         stream.write_all(complete(1, std::slice::from_ref(&known)).as_bytes()).expect("it is written");
         stream.write_all(line.as_bytes()).expect("it is written");
         if !line.ends_with('\n') {
             stream.shutdown(Shutdown::Write).expect("a socket");
         }
-        // The node closes: it has dealt with all that it read. A reset does as well.
+        // The node closes the connection after handling all that it read; a reset shows the same.
         let _ = stream.read(&mut [0]);
     }
     let mut stream = feed.accept().expect("the node comes again").0;
     let list = complete(9, &[known, entry("last.example", address(&last))]);
     stream.write_all(list.as_bytes()).expect("it is written");
-    // Dialled on the strength of the last list, behind all that came before it.
+    // The node dials this server because of the last list, which it handles after all earlier input.
     last.accept().expect("the node dials");
-    never.set_nonblocking(true).expect("a socket");
-    assert!(never.accept().is_err(), "a change that was not whole was taken");
+    unlisted.set_nonblocking(true).expect("a socket");
+    assert!(unlisted.accept().is_err(), "an incomplete change was applied");
     drop((first, stream));
     node.stop().expect("it stops");
 }
--- a/crates/lemoncleat-service/tests/shared.rs
+++ b/crates/lemoncleat-service/tests/shared.rs
@@ -1,4 +1,4 @@
-//! Texts that a fleet agrees on, read with a node's own file.
+//! Configuration texts of a fleet, merged with a node's own settings file.
 
 use lemoncleat_service::{fits_in_place, read_config, read_config_with, read_shared, LONGEST_TEXT};
 
@@ -14,7 +14,7 @@
 ";
 
 #[test]
-fn the_agreed_text_wins_for_what_it_names_and_the_file_holds_for_the_rest() {
+fn agreed_text_takes_precedence_for_its_fields() {
     let text = "(nodes 7) (limits (calls 9)) (cold (from 0.5))
 (classes (class (name buy) (aim 1s) (deadline 6s) (worth 8)) (class (name browse) (aim 1500ms) (deadline 9s) (worth 2)))
 (members (member (host n3.example) (address 127.0.0.1:3871) (zone z3))
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_the_file_says_already_is_no_difference() {
+fn values_equal_to_the_file_are_no_difference() {
     let text = "(clients c.example) (limits (calls 1000)) (nodes 1)
 (plan (prefix (digits 351) (class browse) (place 2)))";
     let config = read_config_with(NODE, text).expect("good texts");
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_mistake_is_told_with_its_place_and_field() {
+fn errors_have_position_and_field() {
     let cases = [
         ("(nodes 2)\n(host other.example)", "text:2:2: unknown field `host`"),
         ("(nodes 2)\n  (realm x)", "text:2:4: unknown field `realm`"),
@@ -75,33 +75,34 @@
         ("(nodes 2", "text:1:"),
     ];
     for (text, expected) in cases {
-        let told = read_config_with(NODE, text).err().map(|error| error.in_file("text")).unwrap_or_default();
-        assert!(told.contains(expected), "{text}: told {told:?}, expected {expected:?}");
-        assert!(!told.contains('\n'), "one line: {told:?}");
+        let message =
+            read_config_with(NODE, text).err().map(|error| error.in_file("text")).unwrap_or_default();
+        assert!(message.contains(expected), "{text}: got {message:?}, expected {expected:?}");
+        assert!(!message.contains('\n'), "one line: {message:?}");
     }
     let long = format!("{};{}", NODE, "x".repeat(LONGEST_TEXT));
-    let told = read_shared(&long).err().expect("too long").to_string();
-    assert!(told.contains("expected 262144 at the most"), "{told}");
+    let message = read_shared(&long).err().expect("too long").to_string();
+    assert!(message.contains("expected 262144 at the most"), "{message}");
 }
 
 #[test]
-fn members_mean_nothing_to_a_node_on_its_own() {
+fn members_are_rejected_outside_a_fleet() {
     let alone = &NODE[..NODE.find("(fleet").expect("a fleet")];
-    let told = read_config_with(alone, "(nodes 1)\n(members)").expect_err("no fleet").in_file("text");
-    assert_eq!(told, "text:2:1: members: this node is in no fleet");
+    let message = read_config_with(alone, "(nodes 1)\n(members)").expect_err("no fleet").in_file("text");
+    assert_eq!(message, "text:2:1: members: this node is in no fleet");
 }
 
 #[test]
-fn a_configuration_for_all_needs_voters() {
+fn common_configuration_requires_voters() {
     let text = NODE.replace("(voters n1.example n2.example n3.example) (store \"ledger\") ", "");
-    let told = read_config(&text).expect_err("no voters").to_string();
-    assert!(told.contains("fleet.configuration: given, but this fleet has no voters"), "{told}");
+    let message = read_config(&text).expect_err("no voters").to_string();
+    assert!(message.contains("fleet.configuration: given, but this fleet has no voters"), "{message}");
 }
 
 #[test]
-fn a_class_named_twice_is_refused() {
+fn duplicate_class_name_is_rejected() {
     let class = "(class (name browse) (aim 1s) (deadline 6s) (worth 8))";
-    let told =
+    let message =
         read_config_with(NODE, &format!("(classes {class}\n {class})")).expect_err("twice").in_file("t");
-    assert_eq!(told, "t:2:9: classes[1].name: \"browse\" stands twice");
+    assert_eq!(message, "t:2:9: classes[1].name: \"browse\" is listed twice");
 }
--- a/crates/lemoncleat-service/tests/stall.rs
+++ b/crates/lemoncleat-service/tests/stall.rs
@@ -1,4 +1,4 @@
-//! A node that gets no turn for a while, between a client and a server played by hand on sockets.
+//! A node whose event loop is blocked for a while, between a client and a server simulated on sockets.
 
 mod common;
 
@@ -11,19 +11,19 @@
 use lemoncleat_diameter::{FrameReader, MessageBuilder, MessageRef};
 use lemoncleat_service::{read_config, spawn, Control, Running};
 
-/// How long a test waits for something that comes at once, before it fails.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Time after which a test fails that waits for a message.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One connection's end.
-struct End {
+/// The test's end of a connection.
+struct PeerConnection {
     stream: TcpStream,
     reader: FrameReader,
 }
 
-impl End {
-    fn new(stream: TcpStream) -> End {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
-        End { stream, reader: FrameReader::new(1 << 16) }
+impl PeerConnection {
+    fn new(stream: TcpStream) -> PeerConnection {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+        PeerConnection { stream, reader: FrameReader::new(1 << 16) }
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -36,18 +36,18 @@
                 return frame.to_vec();
             }
             let mut buffer = [0; 4096];
-            let count = self.stream.read(&mut buffer).expect("something comes");
+            let count = self.stream.read(&mut buffer).expect("a message is received");
             assert!(count > 0, "the node closed the connection");
             self.reader.push(&buffer[..count]);
         }
     }
 
-    /// All that comes up to the first message of a kind.
+    /// Reads all messages up to the first one of a kind.
     fn until(&mut self, name: &str) -> Vec<Vec<u8>> {
         let mut all = Vec::new();
         loop {
             let frame = self.next();
-            let found = short(&frame) == name;
+            let found = message_name(&frame) == name;
             all.push(frame);
             if found {
                 return all;
@@ -56,13 +56,13 @@
     }
 }
 
-fn short(frame: &[u8]) -> &'static str {
+fn message_name(frame: &[u8]) -> &'static str {
     let head = MessageRef::parse(frame).expect("a message").header;
     d::short_name(head.command, head.is_request())
 }
 
 fn names(frames: &[Vec<u8>]) -> Vec<&'static str> {
-    frames.iter().map(|frame| short(frame)).collect()
+    frames.iter().map(|frame| message_name(frame)).collect()
 }
 
 fn success(request: &[u8]) -> Vec<u8> {
@@ -72,8 +72,8 @@
         .build()
 }
 
-/// A node with its server and its client.
-fn ends() -> (Running, End, End) {
+/// Starts a node with a connected server and client.
+fn connected_node() -> (Running, PeerConnection, PeerConnection) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let text = format!(
@@ -86,22 +86,22 @@
     let config = read_config(&text).expect("good settings");
     let node =
         spawn(config.service, TcpListener::bind(config.listen[0]).expect("a port")).expect("it starts");
-    let mut server = End::new(listener.accept().expect("the node dials").0);
+    let mut server = PeerConnection::new(listener.accept().expect("the node dials").0);
     let request = server.next();
     let request = MessageRef::parse(&request).expect("a CER");
     let cea = capabilities(MessageBuilder::answer(&request, 2001), "server.example");
     server.send(&cea);
-    let mut client = End::new(TcpStream::connect(node.address).expect("it listens"));
+    let mut client = PeerConnection::new(TcpStream::connect(node.address).expect("it listens"));
     client.send(&cer("client.example"));
     client.until("CEA");
-    // A server is usable once the node has read its CEA: a watchdog behind it tells.
+    // The server is usable once the node has read its CEA; the answer to a later watchdog confirms that.
     server.send(&dwr("server.example", 2));
     server.until("DWA");
     (node, server, client)
 }
 
-/// What a client gets until the node has dealt with all that was written before.
-fn rest(client: &mut End, server: &mut End) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
+/// Returns what client and server receive until the node has handled all that was written before.
+fn drain_messages(client: &mut PeerConnection, server: &mut PeerConnection) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
     server.send(&dwr("server.example", 90));
     let at_server = server.until("DWA");
     client.send(&dwr("client.example", 91));
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn a_success_that_waits_out_a_stall_past_the_deadline_is_released_and_not_passed_on() {
-    let (node, mut server, mut client) = ends();
+fn success_read_after_the_deadline_due_to_a_stall_is_released() {
+    let (node, mut server, mut client) = connected_node();
     client.send(&aar("s;1", 7, 2_000));
     let attempt = server.until("AAR").pop().expect("an attempt");
-    // The stall is asked for before the answer is written, and lasts past the deadline whenever it begins.
+    // The stall is requested before the answer is written, and lasts past the deadline whenever it begins.
     node.control(Control::Stall(Duration::from_millis(2_500)));
     server.send(&success(&attempt));
-    let (at_client, at_server) = rest(&mut client, &mut server);
+    let (at_client, at_server) = drain_messages(&mut client, &mut server);
     assert_eq!(names(&at_client), ["DWA"], "nothing for the call");
     assert!(names(&at_server).contains(&"STR"), "{:?}", names(&at_server));
     let stats = node.stats().expect("it runs");
@@ -127,8 +127,8 @@
 }
 
 #[test]
-fn what_comes_during_a_stall_within_the_deadline_is_served_as_if_nothing_had_been() {
-    let (node, mut server, mut client) = ends();
+fn input_during_a_stall_within_the_deadline_is_handled_normally() {
+    let (node, mut server, mut client) = connected_node();
     client.send(&aar("s;out", 7, 9_000));
     let attempt = server.until("AAR").pop().expect("an attempt");
     node.control(Control::Stall(Duration::from_millis(300)));
--- a/crates/lemoncleat-service/tests/tls.rs
+++ b/crates/lemoncleat-service/tests/tls.rs
@@ -1,4 +1,4 @@
-//! A node whose connections speak TLS, between a client and a server played by hand.
+//! A node with TLS connections between a simulated client and server.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use lemoncleat_service::{read_config, spawn, Control, Running};
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 
-const TIME: Duration = Duration::from_secs(5);
-const TO_SERVER: u64 = 1;
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
+const SERVER_LISTENER: u64 = 1;
 
 struct Folder(PathBuf);
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// An authority, and the folder in which the files of all ends stand.
+/// A test certificate authority and the directory with the files of all ends.
 struct Authority {
     issuer: CertifiedIssuer<'static, KeyPair>,
     folder: Folder,
@@ -45,7 +45,7 @@
         Authority { issuer, folder: Folder(path) }
     }
 
-    /// Writes certificate and key of an end, which may have further names.
+    /// Writes the certificate and key files of an end; the certificate holds all given names.
     fn files(&self, names: &[&str]) -> TlsFiles {
         let key = KeyPair::generate().expect("a key");
         let params = CertificateParams::new(names.iter().map(ToString::to_string).collect::<Vec<_>>());
@@ -57,8 +57,8 @@
     }
 }
 
-/// The ends that the test plays: connections, and whole messages that came on them.
-struct Ends {
+/// The simulated peers: connections and the complete messages received on them.
+struct Peers {
     net: Net<()>,
     authorities: Authorities,
     readers: HashMap<u64, FrameReader>,
@@ -68,8 +68,8 @@
     closed: Vec<u64>,
 }
 
-impl Ends {
-    async fn turn(&mut self) {
+impl Peers {
+    async fn handle_event(&mut self) {
         match self.net.next(None).await {
             Some(Event::Accepted { conn, .. }) => self.accepted.push(conn),
             Some(Event::Dialled { tag, conn }) => drop(self.dialled.insert(tag, Some(conn))),
@@ -89,7 +89,7 @@
 
     async fn message(&mut self) -> (u64, Vec<u8>) {
         while self.messages.is_empty() {
-            self.turn().await;
+            self.handle_event().await;
         }
         self.messages.remove(0)
     }
@@ -98,10 +98,10 @@
         let name = ServerName::try_from("node.example").expect("a name");
         let identity = Identity::read(files).expect("good files");
         let config = client_config(Some(identity), &self.authorities, MinVersion::Tls13).expect("good files");
-        self.net.dial_with_tls(tag, name, config, TIME);
-        self.net.dial(node.address, tag, TIME);
+        self.net.dial_with_tls(tag, name, config, HANDSHAKE_TIMEOUT);
+        self.net.dial(node.address, tag, HANDSHAKE_TIMEOUT);
         while !self.dialled.contains_key(&tag) {
-            self.turn().await;
+            self.handle_event().await;
         }
         self.dialled[&tag].expect("the handshake is done")
     }
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_call_crosses_tls_and_a_new_certificate_serves_new_handshakes_alone() {
+fn call_is_set_up_over_tls_and_reload_affects_only_new_handshakes() {
     let authority = Authority::new("call");
     let node_files = authority.files(&["node.example"]);
     let server_files = authority.files(&["server.example"]);
@@ -124,8 +124,8 @@
         let authorities = Authorities::read(&authority.folder.0.join("ca.pem")).expect("an authority");
         let identity = Identity::read(&server_files).expect("good files");
         let config = server_config(Some(identity), &authorities, MinVersion::Tls13).expect("good files");
-        net.listen_with_tls(TO_SERVER, config, 10, TIME);
-        net.listen(listener, TO_SERVER).expect("it listens");
+        net.listen_with_tls(SERVER_LISTENER, config, 10, HANDSHAKE_TIMEOUT);
+        net.listen(listener, SERVER_LISTENER).expect("it listens");
         let text = format!(
             "(host node.example) (realm example) (listen 127.0.0.1:0)
              (tls (certificate \"{}\") (key \"{}\") (authorities \"{}\"))
@@ -140,7 +140,7 @@
         let config = read_config(&text).expect("good settings");
         let listener = TcpListener::bind(config.listen[0]).expect("a port");
         let node = spawn(config.service, listener).expect("it starts");
-        let mut ends = Ends {
+        let mut peers = Peers {
             net,
             authorities,
             readers: HashMap::new(),
@@ -149,56 +149,57 @@
             messages: Vec::new(),
             closed: Vec::new(),
         };
-        // The node dials the server and proves its name.
-        let (server, request) = ends.message().await;
-        assert_eq!(ends.accepted, [server]);
-        assert_eq!(ends.net.peer_names(server), Some(vec!["node.example".to_owned()]));
+        // The node dials the server and presents a certificate for its name.
+        let (server, request) = peers.message().await;
+        assert_eq!(peers.accepted, [server]);
+        assert_eq!(peers.net.peer_names(server), Some(vec!["node.example".to_owned()]));
         let request = MessageRef::parse(&request).expect("a CER");
         let cea = capabilities(MessageBuilder::answer(&request, 2001), "server.example");
-        ends.send(server, &cea);
-        // A client whose certificate is for the name that it gives.
-        let client = ends.dial(10, &node, &client_files).await;
-        ends.send(client, &cer("client.example"));
-        let (_, cea) = ends.message().await;
+        peers.send(server, &cea);
+        // The certificate of this client matches its Origin-Host.
+        let client = peers.dial(10, &node, &client_files).await;
+        peers.send(client, &cer("client.example"));
+        let (_, cea) = peers.message().await;
         assert_eq!(MessageRef::parse(&cea).expect("a CEA").result_code(), 2001);
-        // One whose certificate is for another.
-        let impostor = ends.dial(11, &node, &client_files).await;
-        ends.send(impostor, &cer("impostor.example"));
-        let (on, cea) = ends.message().await;
+        // The certificate of this client is for another name.
+        let impostor = peers.dial(11, &node, &client_files).await;
+        peers.send(impostor, &cer("impostor.example"));
+        let (on, cea) = peers.message().await;
         assert_eq!((on, MessageRef::parse(&cea).expect("a CEA").result_code()), (impostor, 3010));
-        while !ends.closed.contains(&impostor) {
-            ends.turn().await;
+        while !peers.closed.contains(&impostor) {
+            peers.handle_event().await;
         }
-        // A call.
-        ends.send(client, &aar("s;1", 2, 9_000));
-        let (on, attempt) = ends.message().await;
+        // Establishes a call.
+        peers.send(client, &aar("s;1", 2, 9_000));
+        let (on, attempt) = peers.message().await;
         assert_eq!(on, server);
         let answer = MessageBuilder::answer(&MessageRef::parse(&attempt).expect("an AAR"), 2001)
             .add_str(d::ORIGIN_HOST, "server.example")
             .add_str(d::ORIGIN_REALM, "example")
             .build();
-        ends.send(server, &answer);
-        let (on, answer) = ends.message().await;
+        peers.send(server, &answer);
+        let (on, answer) = peers.message().await;
         assert_eq!((on, MessageRef::parse(&answer).expect("an AAA").result_code()), (client, 2001));
-        // A new certificate, with a name more: the next handshake sees it, the standing connection lives on.
+        // A new certificate with a further name is used by the next handshake; open connections are not
+        // affected.
         authority.files(&["node.example", "second.example"]);
         node.control(Control::ReloadTls);
-        assert!(node.stats().is_some(), "the control before this one is carried out");
-        let later = ends.dial(12, &node, &client_files).await;
-        let names = ends.net.peer_names(later).expect("a certificate");
+        assert!(node.stats().is_some(), "the reload request was handled");
+        let later = peers.dial(12, &node, &client_files).await;
+        let names = peers.net.peer_names(later).expect("a certificate");
         assert!(names.contains(&"second.example".to_owned()), "{names:?}");
-        // A broken file changes nothing.
+        // An invalid file changes nothing.
         std::fs::write(&node_files.certificate, "torn").expect("it is written");
         node.control(Control::ReloadTls);
         assert!(node.stats().is_some());
-        let last = ends.dial(13, &node, &client_files).await;
-        assert!(ends.net.peer_names(last).expect("a certificate").contains(&"second.example".to_owned()));
-        ends.send(client, &dwr("client.example", 5));
-        let (on, dwa) = ends.message().await;
+        let last = peers.dial(13, &node, &client_files).await;
+        assert!(peers.net.peer_names(last).expect("a certificate").contains(&"second.example".to_owned()));
+        peers.send(client, &dwr("client.example", 5));
+        let (on, dwa) = peers.message().await;
         assert_eq!((on, MessageRef::parse(&dwa).expect("a DWA").result_code()), (client, 2001));
         assert_eq!(node.stats().map(|stats| stats.standing), Some(1));
-        // The test's ends are gone before the node is stopped, so that it has nobody to wait for.
-        drop(ends);
+        // Closes the simulated peers first, so that the stopping node has no connection to wait for.
+        drop(peers);
         let stopped = std::thread::spawn(move || node.stop().map(|stats| stats.stood)).join();
         assert!(matches!(stopped, Ok(Ok(1))));
     });
--- a/crates/lemoncleat-settings/src/de.rs
+++ b/crates/lemoncleat-settings/src/de.rs
@@ -1,4 +1,4 @@
-//! From trees to serde types.
+//! Deserializes trees into serde types.
 
 use serde::de::value::StrDeserializer;
 use serde::de::{self, DeserializeOwned, DeserializeSeed, IntoDeserializer, MapAccess, SeqAccess, Visitor};
@@ -7,14 +7,14 @@
 use crate::tree::{read, Kind, Tree};
 use crate::Error;
 
-/// Reads a file's text.
+/// Deserializes the text of a file.
 ///
 /// # Errors
 ///
-/// The first mistake, with its place.
+/// The first error, with its position.
 pub fn from_str<T: DeserializeOwned>(text: &str) -> Result<T, Error> {
-    let all = read(text)?;
-    T::deserialize(Values { all: &all, place: (1, 1) })
+    let trees = read(text)?;
+    T::deserialize(Values { trees: &trees, place: (1, 1) })
 }
 
 impl de::Error for Error {
@@ -38,42 +38,42 @@
     }
 }
 
-fn wrong(place: (usize, usize), message: impl Into<String>) -> Error {
+fn error_at(place: (usize, usize), message: impl Into<String>) -> Error {
     Error { place: Some(place), path: String::new(), message: message.into() }
 }
 
-/// What stands after a field's name: any number of trees.
+/// The values after a field's name: any number of trees.
 #[derive(Clone, Copy)]
 struct Values<'a> {
-    all: &'a [Tree],
+    trees: &'a [Tree],
     place: (usize, usize),
 }
 
 impl<'a> Values<'a> {
-    fn one(&self) -> Result<&'a Tree, Error> {
-        match self.all {
-            [one] => Ok(one),
-            [] => Err(wrong(self.place, "no value, expected one")),
-            [_, second, ..] => Err(wrong(second.place, "more than one value, expected one")),
+    fn single(&self) -> Result<&'a Tree, Error> {
+        match self.trees {
+            [single] => Ok(single),
+            [] => Err(error_at(self.place, "no value, expected one")),
+            [_, second, ..] => Err(error_at(second.place, "more than one value, expected one")),
         }
     }
 
     fn atom(&self) -> Result<(&'a str, bool, (usize, usize)), Error> {
-        let one = self.one()?;
-        match &one.kind {
-            Kind::Atom { text, quoted } => Ok((text, *quoted, one.place)),
-            Kind::List(_) => Err(wrong(one.place, "a list, expected a single value")),
+        let single = self.single()?;
+        match &single.kind {
+            Kind::Atom { text, quoted } => Ok((text, *quoted, single.place)),
+            Kind::List(_) => Err(error_at(single.place, "a list, expected a single value")),
         }
     }
 }
 
 macro_rules! numbers {
-    ($($method:ident $type:ty, $visit:ident, $what:literal;)*) => {
+    ($($method:ident $type:ty, $visit:ident, $expected:literal;)*) => {
         $(fn $method<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
             let (text, _, place) = self.atom()?;
             match text.parse::<$type>() {
                 Ok(value) => visitor.$visit(value).map_err(|error: Error| error.at(place)),
-                Err(_) => Err(wrong(place, format!("{text:?}, expected {}", $what))),
+                Err(_) => Err(error_at(place, format!("{text:?}, expected {}", $expected))),
             }
         })*
     };
@@ -100,7 +100,7 @@
         match text {
             "#t" | "true" | "yes" => visitor.visit_bool(true),
             "#f" | "false" | "no" => visitor.visit_bool(false),
-            _ => Err(wrong(place, format!("{text:?}, expected yes or no"))),
+            _ => Err(error_at(place, format!("{text:?}, expected yes or no"))),
         }
     }
 
@@ -127,9 +127,9 @@
     }
 
     fn deserialize_unit<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
-        match self.all.first() {
+        match self.trees.first() {
             None => visitor.visit_unit(),
-            Some(tree) => Err(wrong(tree.place, "a value, expected none")),
+            Some(tree) => Err(error_at(tree.place, "a value, expected none")),
         }
     }
 
@@ -142,19 +142,19 @@
     }
 
     fn deserialize_seq<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
-        visitor.visit_seq(Items { rest: self.all, index: 0 })
+        visitor.visit_seq(Items { rest: self.trees, index: 0 })
     }
 
     fn deserialize_tuple<V: Visitor<'de>>(self, len: usize, visitor: V) -> Result<V::Value, Error> {
-        if self.all.len() != len {
-            return Err(wrong(self.place, format!("{} values, expected {len}", self.all.len())));
+        if self.trees.len() != len {
+            return Err(error_at(self.place, format!("{} values, expected {len}", self.trees.len())));
         }
         self.deserialize_seq(visitor)
     }
 
     fn deserialize_map<V: Visitor<'de>>(self, visitor: V) -> Result<V::Value, Error> {
         let place = self.place;
-        let forms = Forms { rest: self.all, value: None, seen: Vec::new() };
+        let forms = Forms { rest: self.trees, value: None, seen: Vec::new() };
         visitor.visit_map(forms).map_err(|error: Error| error.at(place))
     }
 
@@ -164,13 +164,13 @@
         _: &'static [&'static str],
         visitor: V,
     ) -> Result<V::Value, Error> {
-        // An element of a list comes as one tree, with or without its name in front.
+        // An element of a list is one tree, with or without the record name in front.
         let mut values = self;
-        if let [Tree { kind: Kind::List(items), place }] = self.all {
+        if let [Tree { kind: Kind::List(items), place }] = self.trees {
             match items.first().map(|first| &first.kind) {
-                Some(Kind::List(_)) => values = Values { all: items, place: *place },
+                Some(Kind::List(_)) => values = Values { trees: items, place: *place },
                 Some(Kind::Atom { text, .. }) if text.eq_ignore_ascii_case(name) => {
-                    values = Values { all: &items[1..], place: *place };
+                    values = Values { trees: &items[1..], place: *place };
                 }
                 _ => {}
             }
@@ -212,7 +212,7 @@
         let index = self.index;
         self.rest = rest;
         self.index += 1;
-        let values = Values { all: std::slice::from_ref(first), place: first.place };
+        let values = Values { trees: std::slice::from_ref(first), place: first.place };
         seed.deserialize(values)
             .map(Some)
             .map_err(|error| error.at(first.place).within(&format!("[{index}]")))
@@ -227,7 +227,7 @@
 struct Forms<'a> {
     rest: &'a [Tree],
     value: Option<Values<'a>>,
-    /// The names so far; the last is the present one.
+    /// The field names so far; the last one is the current field.
     seen: Vec<&'a str>,
 }
 
@@ -238,23 +238,23 @@
         let Some((first, rest)) = self.rest.split_first() else { return Ok(None) };
         self.rest = rest;
         let Kind::List(items) = &first.kind else {
-            return Err(wrong(first.place, "a single value, expected a form (name value ...)"));
+            return Err(error_at(first.place, "a single value, expected a form (name value ...)"));
         };
         let Some((Tree { kind: Kind::Atom { text, .. }, place }, values)) = items.split_first() else {
-            return Err(wrong(first.place, "expected a form that begins with a field's name"));
+            return Err(error_at(first.place, "expected a form that begins with a field's name"));
         };
         if self.seen.contains(&text.as_str()) {
-            return Err(wrong(*place, format!("duplicate field `{text}`")));
+            return Err(error_at(*place, format!("duplicate field `{text}`")));
         }
         self.seen.push(text);
-        self.value = Some(Values { all: values, place: first.place });
+        self.value = Some(Values { trees: values, place: first.place });
         let name: StrDeserializer<'_, Error> = text.as_str().into_deserializer();
         seed.deserialize(name).map(Some).map_err(|error| error.at(*place))
     }
 
     fn next_value_seed<S: DeserializeSeed<'de>>(&mut self, seed: S) -> Result<S::Value, Error> {
         let Some(values) = self.value.take() else {
-            return Err(de::Error::custom("a value without its field"));
+            return Err(de::Error::custom("value without a field name"));
         };
         seed.deserialize(values)
             .map_err(|error| error.at(values.place).within(self.seen.last().copied().unwrap_or_default()))
@@ -306,7 +306,7 @@
         main: Option<Pool>,
     }
 
-    const GOOD: &str = r#"
+    const VALID_FILE: &str = r#"
 ; a comment
 (host node-1.example)
 (listen 127.0.0.1:3868)
@@ -320,8 +320,8 @@
 "#;
 
     #[test]
-    fn a_file_reads_into_its_type() {
-        let file: File = from_str(GOOD).expect("a good file");
+    fn file_is_deserialized_into_its_type() {
+        let file: File = from_str(VALID_FILE).expect("a good file");
         assert_eq!(file.host, "node-1.example");
         assert_eq!(file.listen, "127.0.0.1:3868".parse().expect("an address"));
         assert_eq!(
@@ -335,14 +335,14 @@
         assert_eq!(file.main.map(|pool| pool.place), Some(-3));
     }
 
-    fn mistake(text: &str) -> String {
+    fn error_text(text: &str) -> String {
         from_str::<File>(text).expect_err("a mistake").in_file("f")
     }
 
     #[test]
-    fn mistakes_are_told_with_line_column_field_and_what_was_expected() {
-        let line = |n: usize| GOOD.lines().nth(n - 1).expect("a line");
-        let with = |n: usize, new: &str| GOOD.replacen(line(n), new, 1);
+    fn errors_have_position_field_and_expectation() {
+        let line = |n: usize| VALID_FILE.lines().nth(n - 1).expect("a line");
+        let with = |n: usize, new: &str| VALID_FILE.replacen(line(n), new, 1);
         let cases = [
             (with(5, "(release soon)"), "f:5:10: release: \"soon\", expected a span such as 300ms or 2s"),
             (
@@ -365,7 +365,7 @@
             (with(3, "(host"), "EOF while parsing a list"),
         ];
         for (text, expected) in cases {
-            let told = mistake(&text);
+            let told = error_text(&text);
             assert!(told.contains(expected), "told {told:?}, expected {expected:?}");
         }
     }
--- a/crates/lemoncleat-settings/src/lib.rs
+++ b/crates/lemoncleat-settings/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings and scripts as S-expressions.
+//! Deserializes settings and scripts written as S-expressions.
 //!
 //! A file is a sequence of forms `(name value ...)`. A field with several values is a list; a field that is
 //! a record holds forms again. The elements of a list of records are records in parentheses, which may begin
@@ -13,11 +13,11 @@
 //!   (class (name mark-sold) (aim 1s) (worth 8)))
 //! ```
 //!
-//! Values need no quotes unless they hold spaces or parentheses, or are digits followed by one of the letters
-//! a to f (the reader takes `1a` for a broken number).
+//! Values need quotes only if they contain spaces or parentheses, or consist of digits followed by one of the
+//! letters a to f (the parser rejects `1a` as a malformed number).
 //!
-//! [`from_str`] reads any serde type. Spans, rates and sizes carry their units: [`Span`], [`Rate`],
-//! [`Size`]. Every mistake is told with its line, column and the path of its field.
+//! [`from_str`] deserializes any serde type. Time spans, rates and sizes are written with units: [`Span`],
+//! [`Rate`], [`Size`]. Every error carries line, column and the path of its field.
 
 mod de;
 mod tree;
@@ -28,19 +28,19 @@
 
 use std::fmt;
 
-/// A mistake in a file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
-    /// Line and column, from 1; `None` where it is nowhere in particular.
+    /// Line and column, from 1; `None` if the error has no specific position.
     pub place: Option<(usize, usize)>,
-    /// The field, as in `classes[1].aim`; empty at the top.
+    /// The path of the field, as in `classes[1].aim`; empty at the top level.
     pub path: String,
-    /// What is wrong and what was expected.
+    /// The error, with the value found and what was expected.
     pub message: String,
 }
 
 impl Error {
-    /// The mistake as one line, with the file's name.
+    /// Formats the error as one line with the file name and position.
     pub fn in_file(&self, file: &str) -> String {
         match self.place {
             Some((line, column)) => format!("{file}:{line}:{column}: {self}"),
--- a/crates/lemoncleat-settings/src/units.rs
+++ b/crates/lemoncleat-settings/src/units.rs
@@ -1,4 +1,4 @@
-//! Figures with units.
+//! Quantities with units.
 
 use std::fmt;
 
@@ -17,8 +17,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Size(pub usize);
 
-/// A number followed by one of the units; the value in terms of the smallest.
-fn figure(text: &str, units: &[(&str, f64)]) -> Option<f64> {
+/// Parses a number followed by one of the units and returns the value in the base unit.
+fn parse_quantity(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let number = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
     let (number, unit) = text.split_at(number);
     let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
@@ -27,26 +27,26 @@
 }
 
 impl Span {
-    /// Reads a span.
+    /// Parses a time span.
     pub fn parse(text: &str) -> Option<Span> {
         const UNITS: &[(&str, f64)] = &[("us", 1.0), ("ms", 1e3), ("s", 1e6), ("min", 60e6), ("h", 3600e6)];
-        figure(text, UNITS).filter(|us| *us < 9e15).map(|us| Span(us.round() as i64))
+        parse_quantity(text, UNITS).filter(|us| *us < 9e15).map(|us| Span(us.round() as i64))
     }
 }
 
 impl Rate {
-    /// Reads a rate.
+    /// Parses a rate.
     pub fn parse(text: &str) -> Option<Rate> {
-        figure(text, &[("/s", 1.0), ("/min", 1.0 / 60.0), ("/h", 1.0 / 3600.0)]).map(Rate)
+        parse_quantity(text, &[("/s", 1.0), ("/min", 1.0 / 60.0), ("/h", 1.0 / 3600.0)]).map(Rate)
     }
 }
 
 impl Size {
-    /// Reads a size.
+    /// Parses a size.
     pub fn parse(text: &str) -> Option<Size> {
         const UNITS: &[(&str, f64)] =
             &[("", 1.0), ("KiB", 1024.0), ("MiB", 1048576.0), ("GiB", 1073741824.0)];
-        figure(text, UNITS).filter(|bytes| *bytes < 1e15).map(|bytes| Size(bytes.round() as usize))
+        parse_quantity(text, UNITS).filter(|bytes| *bytes < 1e15).map(|bytes| Size(bytes.round() as usize))
     }
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-macro_rules! read {
+macro_rules! impl_unit_parsing {
     ($type:ident, $expected:literal) => {
         impl<'de> Deserialize<'de> for $type {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
@@ -71,8 +71,8 @@
                         f.write_str($expected)
                     }
                     fn visit_str<E: de::Error>(self, text: &str) -> Result<$type, E> {
-                        let wrong = || E::custom(format_args!("{text:?}, expected {}", $expected));
-                        $type::parse(text).ok_or_else(wrong)
+                        let invalid = || E::custom(format_args!("{text:?}, expected {}", $expected));
+                        $type::parse(text).ok_or_else(invalid)
                     }
                 }
                 deserializer.deserialize_str(Reader)
@@ -87,21 +87,21 @@
     };
 }
 
-read!(Span, "a span such as 300ms or 2s");
-read!(Rate, "a rate such as 810/s");
-read!(Size, "a size such as 64KiB or 512");
+impl_unit_parsing!(Span, "a span such as 300ms or 2s");
+impl_unit_parsing!(Rate, "a rate such as 810/s");
+impl_unit_parsing!(Size, "a size such as 64KiB or 512");
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
     #[test]
-    fn figures_need_a_number_and_a_known_unit() {
+    fn parse_requires_a_number_and_a_known_unit() {
         assert_eq!(Span::parse("1.5s"), Some(Span(1_500_000)));
         assert_eq!(Rate::parse("30/min"), Some(Rate(0.5)));
         assert_eq!(Size::parse("2KiB"), Some(Size(2048)));
-        for bad in ["", "5", "s", "-1s", "1..2s", "3 s", "1e400s"] {
-            assert_eq!(Span::parse(bad), None, "{bad:?}");
+        for invalid in ["", "5", "s", "-1s", "1..2s", "3 s", "1e400s"] {
+            assert_eq!(Span::parse(invalid), None, "{invalid:?}");
         }
     }
 }
--- a/crates/lemoncleat-settings/tests/places.rs
+++ b/crates/lemoncleat-settings/tests/places.rs
@@ -1,4 +1,4 @@
-//! Places of mistakes and atoms as they stand, also far into a long file.
+//! Positions of errors and spelling of atoms, also at the end of a long file.
 
 use lemoncleat_settings::{from_str, Span};
 use serde::Deserialize;
@@ -19,14 +19,14 @@
 }
 
 fn text(last: &str) -> String {
-    let one = |n: u32| {
+    let member = |n: u32| {
         format!("  (member (host n-{n}.example)\t(address 127.0.{}.{}:3868)) ; {n}\n", n / 200, n % 200)
     };
-    format!("; é, a comment\n(members\n{}  {last})\n", (0..200).map(one).collect::<String>())
+    format!("; é, a comment\n(members\n{}  {last})\n", (0..200).map(member).collect::<String>())
 }
 
 #[test]
-fn the_last_of_many_members_is_read_as_it_stands() {
+fn last_of_many_members_is_read_verbatim() {
     let file: File =
         from_str(&text("((host \"n é.x\")(address 127.0.9.9:1)(wait 300ms))")).expect("a good file");
     assert_eq!(file.members.len(), 201);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_mistake_in_the_last_of_many_members_has_its_place() {
+fn error_in_the_last_of_many_members_has_its_position() {
     let cases = [
         ("(member (host a) (address here))", "f:203:29: members[200].address: invalid socket address"),
         ("(member (host \"é\")(address 1.1.1.1:1)(wait 3x))", "f:203:47: members[200].wait: \"3x\""),
