--- a/crates/lemoncleat-diameter/src/check.rs
+++ b/crates/lemoncleat-diameter/src/check.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a request, and the answer that says so (RFC 6733 sections 7.1 and 7.5).
+//! Validation of requests and the error answers to invalid ones (RFC 6733 sections 7.1 and 7.5).
 
 use crate::avp::{put_avp, AvpRef};
 use crate::dictionary::{self, Key, Kind};
@@ -6,29 +6,29 @@
 use crate::result_code as code;
 use crate::value::{Value, ValueError};
 
-/// A fault found in a request.
+/// An error found in a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The Result-Code for it.
+    /// Result-Code of the answer.
     pub result: u32,
-    /// One line for the Error-Message.
+    /// Text of the Error-Message AVP, one line.
     pub text: String,
-    /// The members of the Failed-AVP, already encoded; empty where none is sent.
+    /// Encoded members of the Failed-AVP; empty if none is sent.
     pub failed: Vec<u8>,
 }
 
 impl Fault {
-    fn plain(result: u32, text: impl Into<String>) -> Fault {
+    fn without_avp(result: u32, text: impl Into<String>) -> Fault {
         Fault { result, text: text.into(), failed: Vec::new() }
     }
 
-    fn avp(result: u32, text: String, avp: &AvpRef<'_>) -> Fault {
+    fn with_avp(result: u32, text: String, avp: &AvpRef<'_>) -> Fault {
         let mut failed = Vec::new();
         put_avp(&mut failed, avp.code, avp.vendor, avp.flags, avp.data);
         Fault { result, text, failed }
     }
 
-    /// A missing AVP is shown with a value of the least length, zeros (section 7.5).
+    /// Reports a missing AVP as a Failed-AVP with a zero-filled value of minimum length (section 7.5).
     fn missing(key: Key) -> Fault {
         let entry = dictionary::entry(key.code, key.vendor);
         let len = entry.and_then(|entry| entry.kind.fixed_len()).unwrap_or(0);
@@ -39,7 +39,8 @@
     }
 }
 
-/// The AVPs that a request of a command must have, each exactly once.
+/// Returns the AVPs that a request of this command must contain, each exactly once; `None` for an unknown
+/// command.
 fn required(command: u32) -> Option<&'static [Key]> {
     use dictionary::*;
     Some(match command {
@@ -80,8 +81,8 @@
     })
 }
 
-/// AVPs that no request may hold more than once, beyond those that it must have.
-const ONCE: &[Key] = &[
+/// Optional AVPs that a request may contain at most once.
+const AT_MOST_ONCE: &[Key] = &[
     dictionary::CALLED_STATION_ID,
     dictionary::CALLING_STATION_ID,
     dictionary::DESTINATION_HOST,
@@ -90,55 +91,59 @@
     dictionary::SETUP_PATIENCE,
 ];
 
-/// Looks a request over before it is acted on: header bits, command, application, AVPs. Fleet-Word is no known
-/// command here: only members of a fleet may say it, see [`check_member_request`].
+/// Validates a request before it is processed: header bits, command, application and AVPs. Fleet-Word is
+/// rejected as an unsupported command, because only members of a fleet may send it; see
+/// [`check_member_request`].
 ///
 /// # Errors
 ///
-/// The first fault, in the order in which the sections of RFC 6733 treat them.
+/// Returns the first error, in the order of the sections of RFC 6733.
 pub fn check_request(message: &MessageRef<'_>) -> Result<(), Fault> {
     check(message, false)
 }
 
-/// As [`check_request`], for a request of a member of this node's fleet, which may be a Fleet-Word.
+/// Validates a request from a member of this node's fleet: as [`check_request`], but Fleet-Word is allowed.
 ///
 /// # Errors
 ///
-/// As [`check_request`].
+/// The same errors as [`check_request`].
 pub fn check_member_request(message: &MessageRef<'_>) -> Result<(), Fault> {
     check(message, true)
 }
 
-fn check(message: &MessageRef<'_>, member: bool) -> Result<(), Fault> {
-    let head = &message.header;
-    if head.version != 1 {
-        return Err(Fault::plain(code::UNSUPPORTED_VERSION, format!("version {}, expected 1", head.version)));
+fn check(message: &MessageRef<'_>, from_member: bool) -> Result<(), Fault> {
+    let header = &message.header;
+    if header.version != 1 {
+        return Err(Fault::without_avp(
+            code::UNSUPPORTED_VERSION,
+            format!("version {}, expected 1", header.version),
+        ));
     }
-    if head.flags & 0x0f != 0 {
-        return Err(Fault::plain(code::INVALID_BIT_IN_HEADER, "a reserved bit of the header is set"));
+    if header.flags & 0x0f != 0 {
+        return Err(Fault::without_avp(code::INVALID_BIT_IN_HEADER, "a reserved bit of the header is set"));
     }
-    if head.flags & COMMAND_ERROR != 0 {
-        return Err(Fault::plain(code::INVALID_HDR_BITS, "a request with the E bit"));
+    if header.flags & COMMAND_ERROR != 0 {
+        return Err(Fault::without_avp(code::INVALID_HDR_BITS, "a request with the E bit"));
     }
-    let known = member || head.command != dictionary::CMD_FLEET;
-    let Some(required) = required(head.command).filter(|_| known) else {
-        return Err(Fault::plain(
+    let is_supported = from_member || header.command != dictionary::CMD_FLEET;
+    let Some(required) = required(header.command).filter(|_| is_supported) else {
+        return Err(Fault::without_avp(
             code::COMMAND_UNSUPPORTED,
-            format!("command {} is not known", head.command),
+            format!("command {} is not known", header.command),
         ));
     };
-    let base = matches!(
-        head.command,
+    let is_base_command = matches!(
+        header.command,
         dictionary::CMD_CAPABILITIES | dictionary::CMD_WATCHDOG | dictionary::CMD_DISCONNECT
     );
-    // The application of base commands is 0, but CER and DWR of old peers carry others: RFC 6733 only
-    // asks it of the sender, so that it is not refused here.
-    if !base && head.application != dictionary::APP_NAS {
-        let text = format!("application {} is not known", head.application);
-        return Err(Fault::plain(code::APPLICATION_UNSUPPORTED, text));
+    // The Application-Id of base commands is 0, but old peers send CER and DWR with other values. RFC 6733
+    // requires 0 of the sender only, so other values are accepted here.
+    if !is_base_command && header.application != dictionary::APP_NAS {
+        let text = format!("application {} is not known", header.application);
+        return Err(Fault::without_avp(code::APPLICATION_UNSUPPORTED, text));
     }
-    let mut seen = [0u8; 16];
-    let mut once = [0u8; ONCE.len()];
+    let mut required_counts = [0u8; 16];
+    let mut optional_counts = [0u8; AT_MOST_ONCE.len()];
     for avp in message.avps() {
         let avp = avp.map_err(|error| {
             let mut failed = Vec::new();
@@ -152,12 +157,12 @@
         })?;
         if avp.flags & 0x1f != 0 {
             let text = format!("AVP {} has a reserved bit set", avp.code);
-            return Err(Fault::avp(code::INVALID_AVP_BITS, text, &avp));
+            return Err(Fault::with_avp(code::INVALID_AVP_BITS, text, &avp));
         }
         let Some(entry) = dictionary::entry(avp.code, avp.vendor) else {
             if avp.is_mandatory() {
                 let text = format!("AVP {} is not known and has the M bit", avp.code);
-                return Err(Fault::avp(code::AVP_UNSUPPORTED, text, &avp));
+                return Err(Fault::with_avp(code::AVP_UNSUPPORTED, text, &avp));
             }
             continue;
         };
@@ -166,29 +171,29 @@
                 ValueError::Length(..) | ValueError::Member(_) => code::INVALID_AVP_LENGTH,
                 ValueError::Content(_) | ValueError::Depth => code::INVALID_AVP_VALUE,
             };
-            return Err(Fault::avp(result, format!("{}: {error}", entry.name), &avp));
+            return Err(Fault::with_avp(result, format!("{}: {error}", entry.name), &avp));
         }
-        if let Some(place) = required.iter().position(|key| *key == entry.key) {
-            seen[place] = seen[place].saturating_add(1);
-            if seen[place] > 1 {
+        if let Some(index) = required.iter().position(|key| *key == entry.key) {
+            required_counts[index] = required_counts[index].saturating_add(1);
+            if required_counts[index] > 1 {
                 let text = format!("{} stands more than once", entry.name);
-                return Err(Fault::avp(code::AVP_OCCURS_TOO_MANY_TIMES, text, &avp));
+                return Err(Fault::with_avp(code::AVP_OCCURS_TOO_MANY_TIMES, text, &avp));
             }
-        } else if let Some(place) = ONCE.iter().position(|key| *key == entry.key) {
-            once[place] = once[place].saturating_add(1);
-            if once[place] > 1 {
+        } else if let Some(index) = AT_MOST_ONCE.iter().position(|key| *key == entry.key) {
+            optional_counts[index] = optional_counts[index].saturating_add(1);
+            if optional_counts[index] > 1 {
                 let text = format!("{} stands more than once", entry.name);
-                return Err(Fault::avp(code::AVP_OCCURS_TOO_MANY_TIMES, text, &avp));
+                return Err(Fault::with_avp(code::AVP_OCCURS_TOO_MANY_TIMES, text, &avp));
             }
         }
     }
-    match required.iter().zip(seen).find(|(_, seen)| *seen == 0) {
+    match required.iter().zip(required_counts).find(|(_, count)| *count == 0) {
         Some((key, _)) => Err(Fault::missing(*key)),
         None => Ok(()),
     }
 }
 
-/// Scalars are judged by length alone, without building the value.
+/// Validates an AVP's value. Scalars are checked by length alone, without decoding the value.
 fn check_value(kind: Kind, avp: &AvpRef<'_>) -> Result<(), ValueError> {
     if let Some(len) = kind.fixed_len() {
         return if avp.data.len() == len { Ok(()) } else { Err(ValueError::Length(kind, avp.data.len())) };
@@ -197,9 +202,9 @@
         Kind::OctetString => Ok(()),
         Kind::Utf8String => avp.as_str().map(|_| ()).ok_or(ValueError::Content(kind)),
         Kind::DiameterIdentity => {
-            let fits = |c: &u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'.' | b'_');
-            let good = !avp.data.is_empty() && avp.data.iter().all(fits);
-            if good {
+            let is_name_byte = |c: &u8| c.is_ascii_alphanumeric() || matches!(c, b'-' | b'.' | b'_');
+            let is_valid = !avp.data.is_empty() && avp.data.iter().all(is_name_byte);
+            if is_valid {
                 Ok(())
             } else {
                 Err(ValueError::Content(kind))
@@ -209,7 +214,8 @@
     }
 }
 
-/// The answer to a faulty request: Result-Code, Error-Message, Failed-AVP and the node's names.
+/// Builds the answer to an invalid request: Result-Code, Error-Message, Failed-AVP, Origin-Host and
+/// Origin-Realm.
 pub fn refusal(request: &MessageRef<'_>, fault: &Fault, host: &str, realm: &str) -> Vec<u8> {
     let mut answer = MessageBuilder::answer(request, fault.result)
         .add_str(dictionary::ORIGIN_HOST, host)
--- a/crates/lemoncleat-diameter/src/dictionary.rs
+++ b/crates/lemoncleat-diameter/src/dictionary.rs
@@ -1,42 +1,43 @@
-//! Commands and AVPs: codes, types, flags and names.
+//! Dictionary of commands and AVPs: codes, types, flags and names.
 //!
-//! Sources: RFC 6733 sections 3.1 and 4.5 (base), RFC 7155 sections 3 and 4 (NAS), RFC 8583 section 7
-//! (Load), RFC 7683 section 7 (overload), RFC 7944 section 9 (priority), and the project's own AVPs under
-//! enterprise number 32473, which RFC 5612 sets aside for documentation.
+//! Sources: RFC 6733 sections 3.1 and 4.5 (base), RFC 7155 sections 3 and 4 (NAS), RFC 8583 section 7 (Load),
+//! RFC 7683 section 7 (overload), RFC 7944 section 9 (priority), and this project's vendor-specific AVPs
+//! under enterprise number 32473, which RFC 5612 reserves for documentation.
 
 use crate::avp::{FLAG_MANDATORY, FLAG_VENDOR};
 
-/// Application-Id of the base protocol's own commands.
+/// Application-Id of the base protocol.
 pub const APP_BASE: u32 = 0;
-/// Application-Id of the NAS application (RFC 7155), which carries the calls.
+/// Application-Id of the NAS application (RFC 7155), which carries call signalling.
 pub const APP_NAS: u32 = 1;
-/// Application-Id that a relay advertises.
+/// Application-Id that a relay agent advertises.
 pub const APP_RELAY: u32 = 0xffff_ffff;
-/// The enterprise number of the project's own AVPs: the one for documentation (RFC 5612).
+/// Vendor-Id of this project's AVPs: the enterprise number reserved for documentation (RFC 5612).
 pub const VENDOR: u32 = 32473;
 
 /// Capabilities-Exchange.
 pub const CMD_CAPABILITIES: u32 = 257;
 /// Re-Auth.
 pub const CMD_RE_AUTH: u32 = 258;
-/// AA (RFC 7155 section 3.1): a set-up.
+/// AA (RFC 7155 section 3.1): sets up a call.
 pub const CMD_AA: u32 = 265;
-/// Abort-Session: a call is cut.
+/// Abort-Session: the server cuts a call.
 pub const CMD_ABORT_SESSION: u32 = 274;
-/// Session-Termination: a call ends.
+/// Session-Termination: the client ends a call.
 pub const CMD_SESSION_TERMINATION: u32 = 275;
 /// Device-Watchdog.
 pub const CMD_WATCHDOG: u32 = 280;
 /// Disconnect-Peer.
 pub const CMD_DISCONNECT: u32 = 282;
 
-/// Circuit-Supervision, the project's own: of the codes that RFC 6733 section 11.2.1 sets aside for experiments.
+/// Circuit-Supervision, specific to this project: one of the two experimental codes of RFC 6733 section
+/// 11.2.1.
 pub const CMD_CIRCUITS: u32 = 0x00ff_fffe;
-/// Fleet-Word, the project's own: the other code of RFC 6733 section 11.2.1. Nodes of one fleet say it to one
-/// another, and nobody else does.
+/// Fleet-Word, specific to this project: the other experimental code of RFC 6733 section 11.2.1. Exchanged
+/// only between nodes of one fleet.
 pub const CMD_FLEET: u32 = 0x00ff_ffff;
 
-/// The name of a command, without Request or Answer.
+/// Returns the name of a command, without "Request" or "Answer".
 pub fn command_name(command: u32) -> Option<&'static str> {
     Some(match command {
         CMD_CAPABILITIES => "Capabilities-Exchange",
@@ -52,7 +53,7 @@
     })
 }
 
-/// The short name of a message, as in "AAR" and "AAA".
+/// Returns the abbreviated name of a message, such as "AAR" or "AAA".
 pub fn short_name(command: u32, request: bool) -> &'static str {
     match (command, request) {
         (CMD_CAPABILITIES, true) => "CER",
@@ -78,41 +79,41 @@
     }
 }
 
-/// The format of an AVP's value (RFC 6733 sections 4.2 and 4.3).
+/// Data format of an AVP's value (RFC 6733 sections 4.2 and 4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Any bytes.
+    /// Arbitrary bytes.
     OctetString,
-    /// Four bytes, signed.
+    /// Signed 32-bit integer.
     Integer32,
-    /// Eight bytes, signed.
+    /// Signed 64-bit integer.
     Integer64,
-    /// Four bytes.
+    /// Unsigned 32-bit integer.
     Unsigned32,
-    /// Eight bytes.
+    /// Unsigned 64-bit integer.
     Unsigned64,
-    /// Four bytes, IEEE 754.
+    /// IEEE 754 single precision.
     Float32,
-    /// Eight bytes, IEEE 754.
+    /// IEEE 754 double precision.
     Float64,
-    /// AVPs.
+    /// A sequence of AVPs.
     Grouped,
-    /// A family and an address.
+    /// An address family and an address.
     Address,
-    /// Seconds since 1900.
+    /// Seconds since 1900-01-01 00:00 UTC.
     Time,
-    /// Text.
+    /// UTF-8 text.
     Utf8String,
-    /// A host or realm name, ASCII.
+    /// A host or realm name in ASCII.
     DiameterIdentity,
-    /// aaa:// or aaas://.
+    /// A URI of scheme `aaa` or `aaas`.
     DiameterUri,
-    /// One of a list of numbers.
+    /// A 32-bit integer with enumerated values.
     Enumerated,
 }
 
 impl Kind {
-    /// The one length that a value has, where there is one.
+    /// Returns the length of a value in bytes, if the format has a fixed length.
     pub fn fixed_len(self) -> Option<usize> {
         match self {
             Kind::Integer32 | Kind::Unsigned32 | Kind::Float32 | Kind::Enumerated | Kind::Time => Some(4),
@@ -122,32 +123,32 @@
     }
 }
 
-/// What names an AVP.
+/// Identifies an AVP and tells whether it is sent with the M bit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Key {
-    /// Its code.
+    /// AVP code.
     pub code: u32,
-    /// Its vendor, if it has one.
+    /// Vendor-Id of a vendor-specific AVP.
     pub vendor: Option<u32>,
     mandatory: bool,
 }
 
 impl Key {
-    /// The flags that the AVP is sent with.
+    /// Returns the flags that the AVP is sent with.
     pub fn flags(self) -> u8 {
         let vendor = if self.vendor.is_some() { FLAG_VENDOR } else { 0 };
         vendor | if self.mandatory { FLAG_MANDATORY } else { 0 }
     }
 }
 
-/// What is known of an AVP.
+/// Dictionary entry of an AVP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Its code, vendor and M bit.
+    /// Code, vendor and M bit.
     pub key: Key,
-    /// The format of its value.
+    /// Data format of the value.
     pub kind: Kind,
-    /// Its name.
+    /// AVP name.
     pub name: &'static str,
 }
 
@@ -157,9 +158,9 @@
             #[doc = $name]
             pub const $const: Key = Key { code: $code, vendor: $vendor, mandatory: avps!(@$m) };
         )*
-        /// All AVPs known, in order of vendor and code.
+        /// All AVPs of the dictionary, in order of vendor and code.
         pub const ENTRIES: &[Entry] = &[$(Entry { key: $const, kind: Kind::$kind, name: $name },)*];
-        /// What is known of an AVP.
+        /// Returns the dictionary entry of an AVP.
         pub fn entry(code: u32, vendor: Option<u32>) -> Option<Entry> {
             match (vendor, code) {
                 $((v, $code) if v == $vendor =>
@@ -248,24 +249,24 @@
     FLEET_WORD 17 Some(VENDOR), o, OctetString, "Fleet-Word";
 }
 
-/// Setup-Reason: no circuit or line was free.
+/// Setup-Reason: no circuit or line is free.
 pub const REASON_NO_CIRCUIT: u32 = 1;
-/// Setup-Reason: the processor's queue was full; Reason-Wait may tell for how long.
+/// Setup-Reason: the processor's queue is full; Reason-Wait may give the expected duration.
 pub const REASON_PROCESSOR_FULL: u32 = 3;
-/// Setup-Reason: both ends seized the circuit, and the answering one controls it.
+/// Setup-Reason: both ends seized the circuit (dual seizure), and the answering end controls it.
 pub const REASON_GLARE: u32 = 5;
 /// Setup-Reason: the circuit is blocked.
 pub const REASON_BLOCKED: u32 = 6;
-/// Setup-Reason: there is no such circuit.
+/// Setup-Reason: the circuit is not equipped.
 pub const REASON_UNEQUIPPED: u32 = 7;
 /// Setup-Reason: the circuit is in use.
 pub const REASON_CIRCUIT_BUSY: u32 = 8;
 /// Setup-Reason: the circuit is being reset.
 pub const REASON_RESETTING: u32 = 9;
-/// Setup-Reason: every line of the number called is busy.
+/// Setup-Reason: all lines of the called number are busy.
 pub const REASON_LINES_BUSY: u32 = 4;
 
-/// Call-Marks bit: the caller dials again.
+/// Call-Marks bit: the caller redials after a failed attempt.
 pub const MARK_REDIALLED: u32 = 2;
-/// Call-Marks bit: the call was cut and comes again.
+/// Call-Marks bit: the call was cut and is set up again.
 pub const MARK_CUT: u32 = 16;
--- a/crates/lemoncleat-diameter/src/frame.rs
+++ b/crates/lemoncleat-diameter/src/frame.rs
@@ -1,21 +1,21 @@
-//! Cutting a byte stream into messages.
+//! Splits a byte stream into messages.
 
 use std::fmt;
 
 use crate::message::HEADER_LEN;
 
-/// A stream that can't be cut any further; the connection has to be closed.
+/// A framing error after which the stream cannot be read further; the connection must be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
     /// The version is not 1 (Result-Code 5011).
     Version(u8),
-    /// The length is below a header's or no multiple of four (Result-Code 5015).
+    /// The length is shorter than a header or not a multiple of four (Result-Code 5015).
     Length(usize),
-    /// The length is above the limit (Result-Code 5015).
+    /// The length exceeds the limit (Result-Code 5015).
     TooLong {
-        /// What the header says.
+        /// Length given in the header.
         length: usize,
-        /// What is allowed.
+        /// Maximum length allowed.
         limit: usize,
     },
 }
@@ -24,9 +24,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::Version(version) => write!(f, "Diameter version {version}, expected 1"),
-            FrameError::Length(length) => write!(f, "message length {length} is impossible"),
+            FrameError::Length(length) => write!(f, "invalid message length {length}"),
             FrameError::TooLong { length, limit } => {
-                write!(f, "message length {length} is above the limit of {limit}")
+                write!(f, "message length {length} exceeds the limit of {limit}")
             }
         }
     }
@@ -34,10 +34,10 @@
 
 impl std::error::Error for FrameError {}
 
-/// Collects the bytes of a connection and hands out whole messages.
+/// Buffers the bytes of a connection and returns complete messages.
 ///
-/// The header of a message is judged as soon as its first four bytes are there, so a frame that claims
-/// too much never takes memory.
+/// The version and length of a message are checked as soon as its first four bytes have arrived, so a frame
+/// with an excessive length is never buffered.
 #[derive(Debug)]
 pub struct FrameReader {
     buffer: Vec<u8>,
@@ -47,12 +47,12 @@
 }
 
 impl FrameReader {
-    /// A reader of messages of up to `limit` bytes.
+    /// Creates a reader for messages of up to `limit` bytes.
     pub fn new(limit: usize) -> Self {
         FrameReader { buffer: Vec::new(), start: 0, limit: limit.max(HEADER_LEN), failed: None }
     }
 
-    /// Takes bytes in. Call [`FrameReader::next_frame`] until it has no more before the next ones.
+    /// Appends received bytes. Call [`FrameReader::next_frame`] until it returns `None` before the next call.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.failed.is_some() {
             return;
@@ -64,17 +64,17 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole message, if there is one.
+    /// Returns the next complete message, if one is buffered.
     ///
     /// # Errors
     ///
-    /// When the stream is no Diameter; it stays so.
+    /// Fails if the stream is not valid Diameter; all later calls return the same error.
     pub fn next_frame(&mut self) -> Result<Option<&[u8]>, FrameError> {
         if let Some(error) = self.failed {
             return Err(error);
         }
-        let rest = self.buffer.get(self.start..).unwrap_or_default();
-        let Some(&[version, a, b, c]) = rest.first_chunk::<4>() else { return Ok(None) };
+        let unread = self.buffer.get(self.start..).unwrap_or_default();
+        let Some(&[version, a, b, c]) = unread.first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes([0, a, b, c]) as usize;
         let error = if version != 1 {
             Some(FrameError::Version(version))
@@ -91,15 +91,15 @@
             self.start = 0;
             return Err(error);
         }
-        if rest.len() < length {
+        if unread.len() < length {
             return Ok(None);
         }
-        let from = self.start;
+        let frame_start = self.start;
         self.start += length;
-        Ok(self.buffer.get(from..from + length))
+        Ok(self.buffer.get(frame_start..frame_start + length))
     }
 
-    /// Bytes held that are no whole message yet.
+    /// Returns the number of buffered bytes that do not form a complete message yet.
     pub fn pending(&self) -> usize {
         self.buffer.len() - self.start
     }
--- a/crates/lemoncleat-diameter/src/lib.rs
+++ b/crates/lemoncleat-diameter/src/lib.rs
@@ -1,15 +1,15 @@
 //! The Diameter base protocol (RFC 6733) without I/O.
 //!
 //! - [`MessageRef`] and [`AvpRef`] read a message in place; [`MessageBuilder`] writes one.
-//! - [`FrameReader`] cuts a byte stream into messages, whatever the pieces it arrives in.
-//! - [`dictionary`] names commands and AVPs: the base protocol, NAS (RFC 7155), Load (RFC 8583),
-//!   overload (RFC 7683), priority (RFC 7944), and this project's own under the documentation enterprise
+//! - [`FrameReader`] splits a byte stream into messages, however it is fragmented.
+//! - [`dictionary`] defines commands and AVPs: the base protocol, NAS (RFC 7155), Load (RFC 8583),
+//!   overload (RFC 7683), priority (RFC 7944), and this project's own AVPs under the documentation enterprise
 //!   number of RFC 5612.
-//! - [`check_request`] finds what is wrong with a request and the Result-Code that says so.
+//! - [`check_request`] validates a request and determines the Result-Code of an invalid one.
 //! - [`Peer`] is the peer state machine of RFC 6733 section 5.6 with the watchdog of RFC 3539.
-//! - [`Duplicates`] and [`HopByHop`] match answers to requests and repeats to their first.
+//! - [`HopByHop`] matches answers to requests; [`Duplicates`] recognises repeated requests.
 //!
-//! Everything takes the time as an argument, in microseconds of a monotonic clock.
+//! The current time is passed as an argument, in microseconds of a monotonic clock.
 
 mod avp;
 mod check;
@@ -36,5 +36,5 @@
 pub use value::{Address, Value, ValueError};
 pub use watchdog::{Watchdog, WatchdogAction, WatchdogState, WATCHDOG_FLOOR};
 
-/// A span or a moment in microseconds.
+/// A duration or a point in time in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-diameter/src/message.rs
+++ b/crates/lemoncleat-diameter/src/message.rs
@@ -1,27 +1,27 @@
-//! The header (RFC 6733 section 3), reading a message in place and writing one.
+//! The message header (RFC 6733 section 3); reads messages in place and writes them.
 
 use std::fmt;
 
 use crate::avp::{put_avp, AvpRef, Avps};
 use crate::dictionary::{self, Key};
 
-/// Bytes of the header.
+/// Length of the header in bytes.
 pub const HEADER_LEN: usize = 20;
-/// The R bit.
+/// The R bit: the message is a request.
 pub const COMMAND_REQUEST: u8 = 0x80;
-/// The P bit.
+/// The P bit: the message may be proxied, relayed or redirected.
 pub const COMMAND_PROXIABLE: u8 = 0x40;
-/// The E bit.
+/// The E bit: the answer reports a protocol error.
 pub const COMMAND_ERROR: u8 = 0x20;
 /// The T bit: this request may have been sent before.
 pub const COMMAND_RETRANSMITTED: u8 = 0x10;
 
-/// A message's header.
+/// A message header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
-    /// Protocol version; 1.
+    /// Protocol version, which must be 1.
     pub version: u8,
-    /// Length of the whole message.
+    /// Length of the whole message in bytes.
     pub length: usize,
     /// Command flags.
     pub flags: u8,
@@ -29,70 +29,71 @@
     pub command: u32,
     /// Application-Id.
     pub application: u32,
-    /// Matches an answer to its request on one connection.
+    /// Hop-by-Hop Identifier: matches an answer to its request on one connection.
     pub hop_by_hop: u32,
-    /// Names a request from its origin on.
+    /// End-to-End Identifier: identifies a request together with its origin host.
     pub end_to_end: u32,
 }
 
 impl Header {
-    /// Whether the R bit is set.
+    /// Returns whether the R bit is set.
     pub fn is_request(&self) -> bool {
         self.flags & COMMAND_REQUEST != 0
     }
 
-    /// Whether the T bit is set.
+    /// Returns whether the T bit is set.
     pub fn is_retransmitted(&self) -> bool {
         self.flags & COMMAND_RETRANSMITTED != 0
     }
 }
 
-/// Bytes that are no message.
+/// Bytes that are not a complete message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeaderError {
-    /// Fewer bytes than a header has.
+    /// Fewer bytes than a header.
     Short(usize),
-    /// The length in the header is not that of the bytes, or not a multiple of four.
+    /// The length in the header differs from the number of bytes, or is not a multiple of four.
     Length(usize),
 }
 
 impl fmt::Display for HeaderError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HeaderError::Short(len) => write!(f, "{len} bytes are no Diameter header"),
-            HeaderError::Length(len) => write!(f, "the message's length of {len} is not that of its bytes"),
+            HeaderError::Short(len) => write!(f, "{len} bytes are too few for a Diameter header"),
+            HeaderError::Length(len) => write!(f, "message length {len} does not match the number of bytes"),
         }
     }
 }
 
 impl std::error::Error for HeaderError {}
 
-/// A message where it stands in a buffer.
+/// A borrowed view of a message in a buffer.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageRef<'a> {
     /// The header.
     pub header: Header,
-    /// All its bytes.
+    /// The whole message, including the header.
     pub bytes: &'a [u8],
 }
 
 impl<'a> MessageRef<'a> {
-    /// Reads the header; the AVPs are read as they are asked for.
+    /// Parses the header; AVPs are parsed on access.
     ///
     /// # Errors
     ///
-    /// When the bytes are not one whole message.
+    /// Fails if the bytes are not exactly one complete message.
     pub fn parse(bytes: &'a [u8]) -> Result<Self, HeaderError> {
-        let head: &[u8; HEADER_LEN] = bytes.first_chunk().ok_or(HeaderError::Short(bytes.len()))?;
-        let word = |at: usize| u32::from_be_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let header: &[u8; HEADER_LEN] = bytes.first_chunk().ok_or(HeaderError::Short(bytes.len()))?;
+        let word =
+            |at: usize| u32::from_be_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]]);
         let length = (word(0) & 0x00ff_ffff) as usize;
         if length != bytes.len() || !length.is_multiple_of(4) {
             return Err(HeaderError::Length(length));
         }
         let header = Header {
-            version: head[0],
+            version: header[0],
             length,
-            flags: head[4],
+            flags: header[4],
             command: word(4) & 0x00ff_ffff,
             application: word(8),
             hop_by_hop: word(12),
@@ -101,40 +102,40 @@
         Ok(MessageRef { header, bytes })
     }
 
-    /// Its AVPs in order.
+    /// Returns an iterator over the AVPs in order.
     pub fn avps(&self) -> Avps<'a> {
         Avps::new(self.bytes.get(HEADER_LEN..).unwrap_or_default())
     }
 
-    /// The first AVP of this kind.
+    /// Returns the first AVP with this code and vendor.
     pub fn find(&self, key: Key) -> Option<AvpRef<'a>> {
         self.avps().find(key.code, key.vendor)
     }
 
-    /// The first AVP of this kind, as text.
+    /// Returns the value of the first AVP with this code and vendor as text.
     pub fn text(&self, key: Key) -> Option<&'a str> {
         self.find(key)?.as_str()
     }
 
-    /// The first AVP of this kind, as a number.
+    /// Returns the value of the first AVP with this code and vendor as an Unsigned32.
     pub fn number(&self, key: Key) -> Option<u32> {
         self.find(key)?.as_u32()
     }
 
-    /// The Result-Code of an answer; 0 if it has none.
+    /// Returns the Result-Code of an answer, or 0 if there is none.
     pub fn result_code(&self) -> u32 {
         self.number(dictionary::RESULT_CODE).unwrap_or(0)
     }
 }
 
-/// Writes a message.
+/// Builds a message.
 #[derive(Clone, Debug)]
 pub struct MessageBuilder {
     bytes: Vec<u8>,
 }
 
 impl MessageBuilder {
-    /// A message without AVPs.
+    /// Creates a message without AVPs.
     pub fn new(command: u32, application: u32, flags: u8, hop_by_hop: u32, end_to_end: u32) -> Self {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend_from_slice(&(1u32 << 24).to_be_bytes());
@@ -145,14 +146,14 @@
         MessageBuilder { bytes }
     }
 
-    /// Makes room for so many bytes more, where their number is known.
+    /// Reserves capacity for this many additional bytes.
     #[must_use]
     pub fn reserve(mut self, bytes: usize) -> Self {
         self.bytes.reserve(bytes);
         self
     }
 
-    /// A request.
+    /// Creates a request without AVPs.
     pub fn request(
         command: u32,
         application: u32,
@@ -164,16 +165,22 @@
         MessageBuilder::new(command, application, flags, hop_by_hop, end_to_end)
     }
 
-    /// The answer to a request: its identifiers and P bit, the E bit for protocol errors (section 7.2),
-    /// its Session-Id first (section 8.8) and its Proxy-Info (section 6.2).
+    /// Creates the answer to a request: copies the identifiers and the P bit, sets the E bit for protocol
+    /// errors (section 7.2), and copies the Session-Id as the first AVP (section 8.8) and the Proxy-Info
+    /// (section 6.2).
     pub fn answer(request: &MessageRef<'_>, result: u32) -> Self {
-        let head = request.header;
-        let mut flags = head.flags & COMMAND_PROXIABLE;
+        let header = request.header;
+        let mut flags = header.flags & COMMAND_PROXIABLE;
         if crate::result_code::family(result) == crate::result_code::Family::Protocol {
             flags |= COMMAND_ERROR;
         }
-        let mut answer =
-            MessageBuilder::new(head.command, head.application, flags, head.hop_by_hop, head.end_to_end);
+        let mut answer = MessageBuilder::new(
+            header.command,
+            header.application,
+            flags,
+            header.hop_by_hop,
+            header.end_to_end,
+        );
         if let Some(session) = request.find(dictionary::SESSION_ID) {
             answer = answer.copy(&session);
         }
@@ -186,26 +193,26 @@
         answer
     }
 
-    /// Adds an AVP with the flags that the dictionary has for it.
+    /// Adds an AVP with the flags that the dictionary defines for it.
     #[must_use]
     pub fn add(mut self, avp: Key, data: &[u8]) -> Self {
         put_avp(&mut self.bytes, avp.code, avp.vendor, avp.flags(), data);
         self
     }
 
-    /// Adds an Unsigned32 or Enumerated.
+    /// Adds an Unsigned32 or Enumerated AVP.
     #[must_use]
     pub fn add_u32(self, avp: Key, value: u32) -> Self {
         self.add(avp, &value.to_be_bytes())
     }
 
-    /// Adds text.
+    /// Adds an AVP with a text value.
     #[must_use]
     pub fn add_str(self, avp: Key, value: &str) -> Self {
         self.add(avp, value.as_bytes())
     }
 
-    /// Adds an AVP as it stood elsewhere, flags and all.
+    /// Adds a copy of an AVP with its flags unchanged.
     #[must_use]
     pub fn copy(mut self, avp: &AvpRef<'_>) -> Self {
         put_avp(&mut self.bytes, avp.code, avp.vendor, avp.flags, avp.data);
@@ -219,7 +226,7 @@
         self
     }
 
-    /// The finished message.
+    /// Sets the length in the header and returns the encoded message.
     pub fn build(mut self) -> Vec<u8> {
         let word = (1u32 << 24) | (self.bytes.len() as u32 & 0x00ff_ffff);
         self.bytes[..4].copy_from_slice(&word.to_be_bytes());
--- a/crates/lemoncleat-diameter/src/peer.rs
+++ b/crates/lemoncleat-diameter/src/peer.rs
@@ -1,5 +1,5 @@
 //! The peer state machine of RFC 6733 section 5.6, with capabilities exchange, election, watchdog,
-//! orderly disconnect and reconnection.
+//! graceful disconnect and reconnection.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -15,11 +15,11 @@
 use crate::watchdog::{Watchdog, WatchdogAction, WatchdogState};
 use crate::{result_code, Micros};
 
-/// A transport connection, as named by the driver. Never reused.
+/// Identifier of a transport connection, assigned by the driver and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What this node says of itself.
+/// Identity and capabilities that this node sends to its peers.
 #[derive(Clone, Debug)]
 pub struct Local {
     /// Origin-Host.
@@ -28,18 +28,18 @@
     pub realm: Arc<str>,
     /// Product-Name.
     pub product: Arc<str>,
-    /// Host-IP-Address, once for each.
+    /// Host-IP-Address, one AVP for each address.
     pub addresses: Vec<IpAddr>,
-    /// Auth-Application-Id, once for each.
+    /// Auth-Application-Id, one AVP for each application.
     pub applications: Vec<u32>,
-    /// Origin-State-Id: grows at each start that lost its sessions.
+    /// Origin-State-Id: increases at each start that lost the session state.
     pub state_id: u32,
-    /// Further AVPs of its CER and CEA, with their values.
+    /// Additional AVPs of CER and CEA, with their values.
     pub further: Vec<(d::Key, Vec<u8>)>,
 }
 
 impl Local {
-    /// Origin-Host and Origin-Realm, which every message carries.
+    /// Adds Origin-Host and Origin-Realm, which every message carries.
     #[must_use]
     pub fn sign(&self, message: MessageBuilder) -> MessageBuilder {
         message.add_str(d::ORIGIN_HOST, &self.host).add_str(d::ORIGIN_REALM, &self.realm)
@@ -64,66 +64,68 @@
         message
     }
 
-    /// The CEA that turns a CER away.
+    /// Builds the CEA that rejects a CER.
     pub fn refuse_capabilities(&self, cer: &MessageRef<'_>, fault: &Fault) -> Vec<u8> {
         refusal(cer, fault, &self.host, &self.realm)
     }
 }
 
-/// Waits between attempts to connect: doubling from `first` to `most`, each cut by up to a half at random.
+/// Delays between connection attempts: they double from `first` to `most`, each randomly reduced by up to a
+/// half.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    /// The first wait.
+    /// Delay after the first failure.
     pub first: Micros,
-    /// The longest wait.
+    /// Maximum delay.
     pub most: Micros,
 }
 
 impl Backoff {
-    /// The wait after `failures` failures in a row.
+    /// Returns the delay after the given number of earlier consecutive failures.
     pub fn wait(&self, failures: u32, rng: &mut SmallRng) -> Micros {
-        let full = self.first.saturating_mul(1 << failures.min(30)).min(self.most).max(1);
-        full - rng.random_range(0..=full / 2)
+        let upper_bound = self.first.saturating_mul(1 << failures.min(30)).min(self.most).max(1);
+        upper_bound - rng.random_range(0..=upper_bound / 2)
     }
 }
 
-/// How a peer is dealt with.
+/// Settings of a peer.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
-    /// Its Origin-Host.
+    /// Origin-Host of the peer.
     pub host: Arc<str>,
-    /// This node dials it; otherwise it is only waited for.
+    /// Whether this node connects to the peer; otherwise it only accepts connections from it.
     pub dial: bool,
-    /// A new connection from it replaces one that has stood for at least this long, in microseconds: a peer that
-    /// lost its connection needs that, long before the watchdog here tells that it is lost. With 0 the new one is
-    /// trusted at once. `None`: it is turned away while one is open, as section 5.6 has it.
+    /// A new connection from the peer replaces one that has been open for at least this long, in
+    /// microseconds: a peer that lost its connection reconnects long before the local watchdog detects the
+    /// loss. With 0 the new connection is trusted immediately. With `None` it is rejected while one is open,
+    /// as section 5.6 requires.
     pub replace: Option<Micros>,
-    /// Tw.
+    /// Watchdog interval Tw (RFC 3539).
     pub watchdog: Micros,
-    /// Waits between dials.
+    /// Delays between connection attempts.
     pub backoff: Backoff,
-    /// How long connecting and the capabilities exchange may take together.
+    /// Time limit for connecting and exchanging capabilities, together.
     pub open_timeout: Micros,
-    /// How long the peer may take to close after DPR and DPA.
+    /// Time limit for the peer to close the connection after DPR and DPA.
     pub close_timeout: Micros,
 }
 
-/// The states of section 5.6.
+/// States of the peer state machine (section 5.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
     /// No connection.
     Closed,
-    /// A connection is being dialled.
+    /// A connection is being established.
     WaitConnAck,
-    /// CER was sent on the dialled connection.
+    /// CER was sent on the initiated connection.
     WaitICea,
-    /// The peer connected while the own connection is being dialled.
+    /// The peer connected while this node's own connection is being established.
     WaitConnAckElect,
-    /// The election is lost; the peer decides on the dialled connection.
+    /// The election was lost; the peer decides about the initiated connection.
     WaitReturns,
-    /// Open on the connection that the peer made.
+    /// Open on the connection that the peer initiated.
     ROpen,
-    /// Open on the connection that was dialled.
+    /// Open on the connection that this node initiated.
     IOpen,
     /// DPR was sent or received.
     Closing,
@@ -132,16 +134,16 @@
 /// Disconnect-Cause (section 5.4.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectCause {
-    /// It will be back soon.
+    /// The peer restarts and will be available again soon.
     Rebooting,
-    /// It is short of resources.
+    /// The peer is short of resources.
     Busy,
-    /// It sees no need for the connection.
+    /// The peer does not need the connection.
     DoNotWantToTalkToYou,
 }
 
 impl DisconnectCause {
-    /// Its number on the wire.
+    /// Returns the value on the wire.
     pub fn code(self) -> u32 {
         match self {
             DisconnectCause::Rebooting => 0,
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Unknown numbers count as a peer that does not want to talk.
+    /// Converts a value from the wire; unknown values are read as [`DisconnectCause::DoNotWantToTalkToYou`].
     pub fn from_code(code: u32) -> Self {
         match code {
             0 => DisconnectCause::Rebooting,
@@ -160,71 +162,73 @@
     }
 }
 
-/// Why a peer is down.
+/// Reason why a peer went down.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DownReason {
     /// The connection was lost.
     Lost,
-    /// The watchdog gave up.
+    /// The watchdog closed the connection.
     Watchdog,
-    /// It was ended in order, by either side.
+    /// Either side disconnected gracefully.
     Disconnected,
-    /// A newer connection from the same peer took its place.
+    /// A newer connection from the same peer replaced it.
     Replaced,
 }
 
-/// What a peer is told.
+/// Inputs of the peer state machine.
 #[derive(Clone, Copy, Debug)]
 pub enum PeerInput<'a> {
-    /// Begin to dial, if nothing is under way; after an end that was asked for, dial again.
+    /// Start connecting, if no connection exists or is in progress; also allows connecting again after a
+    /// requested disconnect.
     Start,
-    /// The dialled connection stands.
+    /// The initiated connection is established.
     Dialled(ConnId),
-    /// Dialling failed.
+    /// The connection attempt failed.
     DialFailed,
-    /// The peer connected, and this is its CER.
+    /// The peer connected and sent this CER.
     Accepted(ConnId, &'a MessageRef<'a>),
-    /// A message came on one of its connections.
+    /// A message was received on one of the peer's connections.
     Message(ConnId, &'a MessageRef<'a>),
     /// A connection was closed by the peer or the network.
     Closed(ConnId),
-    /// End the connection in order.
+    /// Disconnect gracefully with a DPR.
     Disconnect(DisconnectCause),
-    /// The time at [`Peer::due`] has come.
+    /// The time returned by [`Peer::due`] was reached.
     Timeout,
-    /// This end got no turn for so long (microseconds): that time counts for no wait for the peer.
+    /// This process did not run for this long (microseconds): the time is not counted towards any timeout of
+    /// the peer.
     Away(Micros),
 }
 
-/// What a peer asks for.
+/// Outputs of the peer state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerOutput {
-    /// Dial; answer with [`PeerInput::Dialled`] or [`PeerInput::DialFailed`].
+    /// Connect to the peer and report [`PeerInput::Dialled`] or [`PeerInput::DialFailed`].
     Dial,
-    /// Stop dialling, or close the connection if it came to stand meanwhile.
+    /// Abort the connection attempt, or close the connection if it has been established meanwhile.
     StopDial,
-    /// Send bytes.
+    /// Send bytes on a connection.
     Send(ConnId, Vec<u8>),
     /// Close a connection.
     Close(ConnId),
-    /// The capabilities were exchanged on this connection; the peer may not be usable yet. With the CER or CEA
+    /// Capabilities were exchanged on this connection, which may not be usable yet. Carries the CER or CEA
     /// that the peer sent.
     Open(ConnId, Vec<u8>),
-    /// The peer may be sent requests.
+    /// Requests may be sent to the peer.
     Usable,
-    /// It must not be sent requests for now; the connection stands.
+    /// No requests may be sent to the peer for now; the connection remains open.
     Suspect,
-    /// It asked to end the connection: send nothing new.
+    /// The peer sent a DPR: no new requests may be sent.
     Draining(DisconnectCause),
-    /// The open connection is gone.
+    /// The open connection was closed or lost.
     Down(DownReason),
-    /// A connection did not come to be open, and why.
+    /// A connection could not be opened, with the reason.
     Refused(String),
-    /// The message is for the application.
+    /// The message of this input must be passed to the application.
     Deliver,
 }
 
-/// The machine of one peer.
+/// State machine of one peer.
 #[derive(Debug)]
 pub struct Peer {
     local: Arc<Local>,
@@ -232,19 +236,19 @@
     state: State,
     initiator: Option<ConnId>,
     responder: Option<ConnId>,
-    waiting_cer: Option<Vec<u8>>,
-    /// When the connection was opened.
-    opened: Micros,
+    pending_cer: Option<Vec<u8>>,
+    /// Time at which the connection was opened.
+    opened_at: Micros,
     watchdog: Watchdog,
     usable: bool,
     failures: u32,
     dial_at: Option<Micros>,
-    limit_at: Option<Micros>,
+    deadline_at: Option<Micros>,
     dialling: bool,
-    in_order: bool,
-    /// Ended from this side: not dialled until [`PeerInput::Start`].
+    graceful: bool,
+    /// Stopped by this node: no connection attempt until [`PeerInput::Start`].
     stopped: bool,
-    next_id: u32,
+    next_identifier: u32,
     rng: SmallRng,
 }
 
@@ -255,70 +259,70 @@
 }
 
 impl Peer {
-    /// A peer without a connection. The seed spreads its waits.
+    /// Creates a peer without a connection. The seed randomises its timers.
     pub fn new(local: Arc<Local>, settings: PeerSettings, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let watchdog = Watchdog::new(settings.watchdog);
-        let next_id = rng.random();
+        let next_identifier = rng.random();
         Peer {
             local,
             settings,
             state: State::Closed,
             initiator: None,
             responder: None,
-            waiting_cer: None,
-            opened: 0,
+            pending_cer: None,
+            opened_at: 0,
             watchdog,
             usable: false,
             failures: 0,
             dial_at: None,
-            limit_at: None,
+            deadline_at: None,
             dialling: false,
-            in_order: false,
+            graceful: false,
             stopped: false,
-            next_id,
+            next_identifier,
             rng,
         }
     }
 
-    /// Dials no more until [`PeerInput::Start`]. A connection that stands stays, and the peer may still make
-    /// one; a dial that is under way is seen through.
+    /// Stops connecting until [`PeerInput::Start`]. An open connection and an attempt in progress are kept,
+    /// and connections from the peer are still accepted.
     pub fn rest(&mut self) {
         self.stopped = true;
         self.dial_at = None;
     }
 
-    /// The peer's Origin-Host.
+    /// Returns the peer's Origin-Host.
     pub fn host(&self) -> &Arc<str> {
         &self.settings.host
     }
 
-    /// Its state.
+    /// Returns the state of the connection.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// How far it is trusted.
+    /// Returns the state of the watchdog.
     pub fn watchdog(&self) -> WatchdogState {
         self.watchdog.state()
     }
 
-    /// Whether it may be sent requests.
+    /// Returns whether requests may be sent to the peer.
     pub fn is_usable(&self) -> bool {
         self.usable && self.is_open()
     }
 
-    /// Whether it is open.
+    /// Returns whether a connection is open.
     pub fn is_open(&self) -> bool {
         matches!(self.state, State::ROpen | State::IOpen)
     }
 
-    /// Whether nothing goes on and nothing is planned.
+    /// Returns whether there is no connection and no attempt is in progress or scheduled.
     pub fn is_idle(&self) -> bool {
         self.state == State::Closed && self.dial_at.is_none()
     }
 
-    /// The connection in use: open, or about to be closed in order.
+    /// Returns the connection in use: open, or being closed after a DPR.
     pub fn connection(&self) -> Option<ConnId> {
         match self.state {
             State::ROpen | State::IOpen | State::Closing => self.initiator.or(self.responder),
@@ -326,41 +330,41 @@
         }
     }
 
-    /// When to call with [`PeerInput::Timeout`].
+    /// Returns the time at which [`PeerInput::Timeout`] is due.
     pub fn due(&self) -> Option<Micros> {
-        [self.dial_at, self.limit_at, self.watchdog.due()].into_iter().flatten().min()
+        [self.dial_at, self.deadline_at, self.watchdog.due()].into_iter().flatten().min()
     }
 
-    fn id(&mut self) -> u32 {
-        // The lower half of the identifiers is the application's.
-        self.next_id = self.next_id.wrapping_add(1) | 0x8000_0000;
-        self.next_id
+    fn allocate_identifier(&mut self) -> u32 {
+        // The lower half of the identifier range is used by the application.
+        self.next_identifier = self.next_identifier.wrapping_add(1) | 0x8000_0000;
+        self.next_identifier
     }
 
     fn base_request(&mut self, command: u32) -> MessageBuilder {
-        let (hop, end) = (self.id(), self.id());
-        MessageBuilder::request(command, d::APP_BASE, false, hop, end)
+        let (hop_by_hop, end_to_end) = (self.allocate_identifier(), self.allocate_identifier());
+        MessageBuilder::request(command, d::APP_BASE, false, hop_by_hop, end_to_end)
     }
 
     fn dial(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
         self.state = State::WaitConnAck;
         self.dialling = true;
         self.dial_at = None;
-        self.limit_at = Some(now + self.settings.open_timeout);
+        self.deadline_at = Some(now + self.settings.open_timeout);
         out.push(PeerOutput::Dial);
     }
 
-    /// After a failed or lost connection: dial again after a wait, if this side dials.
-    fn retry(&mut self, now: Micros) {
+    /// Schedules the next attempt after a failed or lost connection, if this node initiates connections.
+    fn schedule_redial(&mut self, now: Micros) {
         self.state = State::Closed;
-        self.limit_at = None;
+        self.deadline_at = None;
         if self.settings.dial && !self.stopped {
             self.dial_at = Some(now + self.settings.backoff.wait(self.failures, &mut self.rng));
             self.failures = self.failures.saturating_add(1);
         }
     }
 
-    fn stop_initiating(&mut self, out: &mut Vec<PeerOutput>) {
+    fn close_initiated(&mut self, out: &mut Vec<PeerOutput>) {
         if self.dialling {
             self.dialling = false;
             out.push(PeerOutput::StopDial);
@@ -370,30 +374,35 @@
         }
     }
 
-    fn refuse(&mut self, now: Micros, why: String, out: &mut Vec<PeerOutput>) {
-        self.stop_initiating(out);
+    fn abort_opening(&mut self, now: Micros, why: String, out: &mut Vec<PeerOutput>) {
+        self.close_initiated(out);
         if let Some(conn) = self.responder.take() {
             out.push(PeerOutput::Close(conn));
         }
         out.push(PeerOutput::Refused(why));
-        self.retry(now);
+        self.schedule_redial(now);
     }
 
-    fn open(&mut self, now: Micros, state: State, message: &MessageRef<'_>, out: &mut Vec<PeerOutput>) {
+    fn enter_open(&mut self, now: Micros, state: State, message: &MessageRef<'_>, out: &mut Vec<PeerOutput>) {
         self.state = state;
-        self.opened = now;
-        self.limit_at = None;
+        self.opened_at = now;
+        self.deadline_at = None;
         self.dial_at = None;
         self.failures = 0;
-        self.in_order = false;
+        self.graceful = false;
         if let Some(conn) = self.connection() {
             out.push(PeerOutput::Open(conn, message.bytes.to_vec()));
         }
         let action = self.watchdog.connected(now, &mut self.rng);
-        self.watch(now, action, out);
+        self.apply_watchdog_action(now, action, out);
     }
 
-    fn watch(&mut self, now: Micros, action: Option<WatchdogAction>, out: &mut Vec<PeerOutput>) {
+    fn apply_watchdog_action(
+        &mut self,
+        now: Micros,
+        action: Option<WatchdogAction>,
+        out: &mut Vec<PeerOutput>,
+    ) {
         match action {
             Some(WatchdogAction::Send) => {
                 if let Some(conn) = self.connection() {
@@ -414,23 +423,23 @@
                 if let Some(conn) = self.connection() {
                     out.push(PeerOutput::Close(conn));
                 }
-                self.down(now, DownReason::Watchdog, out);
+                self.enter_closed(now, DownReason::Watchdog, out);
             }
             None => {}
         }
     }
 
-    fn down(&mut self, now: Micros, reason: DownReason, out: &mut Vec<PeerOutput>) {
+    fn enter_closed(&mut self, now: Micros, reason: DownReason, out: &mut Vec<PeerOutput>) {
         let reason =
-            if self.in_order && reason == DownReason::Lost { DownReason::Disconnected } else { reason };
+            if self.graceful && reason == DownReason::Lost { DownReason::Disconnected } else { reason };
         self.initiator = None;
         self.responder = None;
         self.usable = false;
         let replaced = reason == DownReason::Replaced && self.settings.replace == Some(0);
         self.watchdog.disconnected(replaced || reason == DownReason::Disconnected);
         out.push(PeerOutput::Down(reason));
-        self.retry(now);
-        self.in_order = false;
+        self.schedule_redial(now);
+        self.graceful = false;
     }
 
     fn send_cea(&mut self, conn: ConnId, cer: &MessageRef<'_>, out: &mut Vec<PeerOutput>) {
@@ -438,33 +447,35 @@
         out.push(PeerOutput::Send(conn, self.local.capabilities(answer).build()));
     }
 
-    /// What a CER or CEA must have: an application in common.
-    fn capabilities_fit(&self, message: &MessageRef<'_>) -> Result<(), Fault> {
-        let common =
+    /// Checks that a CER or CEA offers an application in common.
+    fn check_common_application(&self, message: &MessageRef<'_>) -> Result<(), Fault> {
+        let is_common =
             |application: u32| application == d::APP_RELAY || self.local.applications.contains(&application);
-        let offered = message.avps().map_while(Result::ok).any(|avp| {
+        let has_common = message.avps().map_while(Result::ok).any(|avp| {
             if avp.code == d::AUTH_APPLICATION_ID.code && avp.vendor.is_none() {
-                return avp.as_u32().is_some_and(common);
+                return avp.as_u32().is_some_and(is_common);
             }
             avp.code == d::VENDOR_SPECIFIC_APPLICATION_ID.code
                 && avp
                     .group()
                     .find(d::AUTH_APPLICATION_ID.code, None)
                     .and_then(|a| a.as_u32())
-                    .is_some_and(common)
+                    .is_some_and(is_common)
         });
-        if offered {
+        if has_common {
             return Ok(());
         }
         let text = "no application in common".to_owned();
         Err(Fault { result: result_code::NO_COMMON_APPLICATION, text, failed: Vec::new() })
     }
 
-    /// Takes an input. A [`PeerOutput::Deliver`] says that the message of this input is the application's.
+    /// Processes an input and appends the resulting outputs. [`PeerOutput::Deliver`] means that the message
+    /// of this input is for the application.
     pub fn handle(&mut self, now: Micros, input: PeerInput<'_>, out: &mut Vec<PeerOutput>) {
         match input {
             PeerInput::Start => {
-                // While a connection is being ended it is enough that the end leads to a new one.
+                // In state Closing, clearing `stopped` is enough: a new attempt is scheduled once the
+                // connection closes.
                 self.stopped = false;
                 if self.state == State::Closed && self.settings.dial && self.dial_at.is_none() {
                     self.failures = 0;
@@ -479,10 +490,10 @@
                 match self.state {
                     State::WaitConnAck => {
                         out.push(PeerOutput::Refused("connection failed".to_owned()));
-                        self.retry(now);
+                        self.schedule_redial(now);
                     }
-                    // I-Rcv-Conn-Nack: the peer's connection is taken.
-                    State::WaitConnAckElect => self.take_responder(now, out),
+                    // I-Rcv-Conn-Nack: the connection from the peer is used.
+                    State::WaitConnAckElect => self.open_responder(now, out),
                     _ => {}
                 }
             }
@@ -492,7 +503,7 @@
             PeerInput::Disconnect(cause) => self.disconnect(now, cause, out),
             PeerInput::Timeout => self.timeout(now, out),
             PeerInput::Away(time) => {
-                self.limit_at = self.limit_at.map(|at| at + time);
+                self.deadline_at = self.deadline_at.map(|at| at + time);
                 self.watchdog.away(time);
             }
         }
@@ -514,43 +525,45 @@
             State::WaitConnAckElect => {
                 self.initiator = Some(conn);
                 out.push(PeerOutput::Send(conn, cer));
-                self.elect(now, out);
+                self.run_election(now, out);
             }
             _ => out.push(PeerOutput::Close(conn)),
         }
     }
 
-    /// Section 5.6.4: the responder whose Origin-Host comes later keeps the peer's connection.
-    fn elect(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
+    /// Holds the election (section 5.6.4): the node with the greater Origin-Host keeps the connection that
+    /// its peer initiated.
+    fn run_election(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
         if self.local.host.as_bytes() > self.settings.host.as_bytes() {
-            self.take_responder(now, out);
+            self.open_responder(now, out);
         } else {
             self.state = State::WaitReturns;
         }
     }
 
-    /// Win-Election: the own connection goes, the peer's is answered and opened.
-    fn take_responder(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
-        self.stop_initiating(out);
-        let cer = self.waiting_cer.take();
+    /// Win-Election: closes this node's own connection and opens the peer's with a CEA.
+    fn open_responder(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
+        self.close_initiated(out);
+        let cer = self.pending_cer.take();
         let parsed = cer.as_deref().and_then(|bytes| MessageRef::parse(bytes).ok());
         match (self.responder, parsed) {
             (Some(conn), Some(cer)) => {
                 self.send_cea(conn, &cer, out);
-                self.open(now, State::ROpen, &cer, out);
+                self.enter_open(now, State::ROpen, &cer, out);
             }
-            _ => self.retry(now),
+            _ => self.schedule_redial(now),
         }
     }
 
-    /// Whether a new connection takes the place of the one that stands. Where both ends dial, a CER that comes right
-    /// after the other connection opened belongs to an election that is over, and is the loser.
-    fn replaces(&self, now: Micros) -> bool {
-        self.settings.replace.is_some_and(|span| now - self.opened >= span)
+    /// Returns whether a new connection may replace the open one. If both ends initiate connections, a CER
+    /// received right after the other connection opened belongs to the loser of that election and must not
+    /// replace it.
+    fn may_replace_connection(&self, now: Micros) -> bool {
+        self.settings.replace.is_some_and(|min_age| now - self.opened_at >= min_age)
     }
 
     fn accepted(&mut self, now: Micros, conn: ConnId, cer: &MessageRef<'_>, out: &mut Vec<PeerOutput>) {
-        if let Err(fault) = check_request(cer).and_then(|()| self.capabilities_fit(cer)) {
+        if let Err(fault) = check_request(cer).and_then(|()| self.check_common_application(cer)) {
             out.push(PeerOutput::Send(conn, self.local.refuse_capabilities(cer, &fault)));
             out.push(PeerOutput::Close(conn));
             out.push(PeerOutput::Refused(fault.text));
@@ -560,43 +573,43 @@
             State::Closed => {
                 self.responder = Some(conn);
                 self.send_cea(conn, cer, out);
-                self.open(now, State::ROpen, cer, out);
+                self.enter_open(now, State::ROpen, cer, out);
             }
             State::WaitConnAck => {
                 self.responder = Some(conn);
-                self.waiting_cer = Some(cer.bytes.to_vec());
+                self.pending_cer = Some(cer.bytes.to_vec());
                 self.state = State::WaitConnAckElect;
             }
             State::WaitICea => {
                 self.responder = Some(conn);
-                self.waiting_cer = Some(cer.bytes.to_vec());
-                self.elect(now, out);
+                self.pending_cer = Some(cer.bytes.to_vec());
+                self.run_election(now, out);
             }
-            State::ROpen | State::IOpen | State::Closing if self.replaces(now) => {
+            State::ROpen | State::IOpen | State::Closing if self.may_replace_connection(now) => {
                 if let Some(old) = self.connection() {
                     out.push(PeerOutput::Close(old));
                 }
-                self.down(now, DownReason::Replaced, out);
+                self.enter_closed(now, DownReason::Replaced, out);
                 self.responder = Some(conn);
                 self.send_cea(conn, cer, out);
-                self.open(now, State::ROpen, cer, out);
+                self.enter_open(now, State::ROpen, cer, out);
             }
             _ => out.push(PeerOutput::Close(conn)),
         }
     }
 
     fn message(&mut self, now: Micros, conn: ConnId, message: &MessageRef<'_>, out: &mut Vec<PeerOutput>) {
-        let head = &message.header;
+        let header = &message.header;
         if self.connection() == Some(conn) {
             self.open_message(now, conn, message, out);
         } else if self.initiator == Some(conn)
-            && head.command == d::CMD_CAPABILITIES
-            && !head.is_request()
+            && header.command == d::CMD_CAPABILITIES
+            && !header.is_request()
             && matches!(self.state, State::WaitICea | State::WaitReturns)
         {
             self.capabilities_answer(now, message, out);
         } else if self.initiator == Some(conn) {
-            self.refuse(now, "something other than a CEA came first".to_owned(), out);
+            self.abort_opening(now, "received another message before the CEA".to_owned(), out);
         } else {
             out.push(PeerOutput::Close(conn));
         }
@@ -608,25 +621,25 @@
             let name = result_code::name(result).unwrap_or("unknown");
             let why = format!("the peer answered the CER with {result} ({name})");
             if self.state == State::WaitReturns && result == result_code::ELECTION_LOST {
-                self.take_responder(now, out);
+                self.open_responder(now, out);
             } else {
-                self.refuse(now, why, out);
+                self.abort_opening(now, why, out);
             }
             return;
         }
         let host = cea.text(d::ORIGIN_HOST).unwrap_or_default();
         if !host.eq_ignore_ascii_case(&self.settings.host) {
             let why = format!("the peer calls itself {host:?}, expected {:?}", &*self.settings.host);
-            return self.refuse(now, why, out);
+            return self.abort_opening(now, why, out);
         }
-        if let Err(fault) = self.capabilities_fit(cea) {
-            return self.refuse(now, fault.text, out);
+        if let Err(fault) = self.check_common_application(cea) {
+            return self.abort_opening(now, fault.text, out);
         }
         if let Some(conn) = self.responder.take() {
             out.push(PeerOutput::Close(conn));
         }
-        self.waiting_cer = None;
-        self.open(now, State::IOpen, cea, out);
+        self.pending_cer = None;
+        self.enter_open(now, State::IOpen, cea, out);
     }
 
     fn open_message(
@@ -636,14 +649,14 @@
         message: &MessageRef<'_>,
         out: &mut Vec<PeerOutput>,
     ) {
-        let head = message.header;
-        if head.command == d::CMD_WATCHDOG && !head.is_request() {
+        let header = message.header;
+        if header.command == d::CMD_WATCHDOG && !header.is_request() {
             let action = self.watchdog.answered(now, &mut self.rng);
-            return self.watch(now, action, out);
+            return self.apply_watchdog_action(now, action, out);
         }
         let action = self.watchdog.heard(now, &mut self.rng);
-        self.watch(now, action, out);
-        match (head.command, head.is_request()) {
+        self.apply_watchdog_action(now, action, out);
+        match (header.command, header.is_request()) {
             (d::CMD_WATCHDOG | d::CMD_DISCONNECT | d::CMD_CAPABILITIES, true) => {
                 if let Err(fault) = check_request(message) {
                     out.push(PeerOutput::Send(
@@ -653,13 +666,13 @@
                     return;
                 }
                 let answer = MessageBuilder::answer(message, result_code::SUCCESS);
-                if head.command == d::CMD_CAPABILITIES {
-                    // R-Rcv-CER on an open connection: answered with the same capabilities.
+                if header.command == d::CMD_CAPABILITIES {
+                    // R-Rcv-CER on an open connection: answer with the same capabilities.
                     out.push(PeerOutput::Send(conn, self.local.capabilities(answer).build()));
                     return;
                 }
                 let answer = self.local.sign(answer);
-                if head.command == d::CMD_WATCHDOG {
+                if header.command == d::CMD_WATCHDOG {
                     let answer = answer.add_u32(d::ORIGIN_STATE_ID, self.local.state_id);
                     out.push(PeerOutput::Send(conn, answer.build()));
                     return;
@@ -671,10 +684,10 @@
                 }
                 self.state = State::Closing;
                 self.usable = false;
-                self.in_order = true;
-                self.limit_at = Some(now + self.settings.close_timeout);
+                self.graceful = true;
+                self.deadline_at = Some(now + self.settings.close_timeout);
                 if cause != DisconnectCause::Rebooting {
-                    // Sections 5.4.3 and 5.4: not to be dialled again soon.
+                    // Sections 5.4 and 5.4.3: do not reconnect soon after a cause other than REBOOTING.
                     self.failures = self.failures.max(16);
                 }
                 out.push(PeerOutput::Draining(cause));
@@ -682,13 +695,14 @@
             (d::CMD_DISCONNECT, false) => {
                 if self.state == State::Closing {
                     out.push(PeerOutput::Close(conn));
-                    self.in_order = true;
-                    self.down(now, DownReason::Disconnected, out);
+                    self.graceful = true;
+                    self.enter_closed(now, DownReason::Disconnected, out);
                 }
             }
             (d::CMD_CAPABILITIES, false) => {}
-            // While closing, answers to what is out still count. A peer that asked for the end asks for
-            // nothing new; what it wrote before it read this end's DPR is the application's to answer.
+            // While closing, answers to outstanding requests are still delivered. Requests from a peer that
+            // sent a DPR are dropped; requests that the peer sent before it received this node's DPR are
+            // delivered.
             (_, true) if self.state == State::Closing && !self.stopped => {}
             _ => out.push(PeerOutput::Deliver),
         }
@@ -696,11 +710,11 @@
 
     fn closed(&mut self, now: Micros, conn: ConnId, out: &mut Vec<PeerOutput>) {
         if self.connection() == Some(conn) {
-            return self.down(now, DownReason::Lost, out);
+            return self.enter_closed(now, DownReason::Lost, out);
         }
         if self.responder == Some(conn) {
             self.responder = None;
-            self.waiting_cer = None;
+            self.pending_cer = None;
             match self.state {
                 State::WaitConnAckElect => self.state = State::WaitConnAck,
                 State::WaitReturns => self.state = State::WaitICea,
@@ -709,10 +723,10 @@
         } else if self.initiator == Some(conn) {
             self.initiator = None;
             match self.state {
-                State::WaitReturns => self.take_responder(now, out),
+                State::WaitReturns => self.open_responder(now, out),
                 State::WaitICea => {
-                    out.push(PeerOutput::Refused("closed before the CEA".to_owned()));
-                    self.retry(now);
+                    out.push(PeerOutput::Refused("connection closed before the CEA".to_owned()));
+                    self.schedule_redial(now);
                 }
                 _ => {}
             }
@@ -730,32 +744,32 @@
                 }
                 self.state = State::Closing;
                 self.usable = false;
-                self.in_order = true;
-                self.limit_at = Some(now + self.settings.close_timeout);
+                self.graceful = true;
+                self.deadline_at = Some(now + self.settings.close_timeout);
             }
             State::Closing => {}
             _ => {
                 self.dial_at = None;
-                self.refuse(now, "stopped".to_owned(), out);
+                self.abort_opening(now, "stopped locally".to_owned(), out);
             }
         }
     }
 
     fn timeout(&mut self, now: Micros, out: &mut Vec<PeerOutput>) {
-        if self.limit_at.is_some_and(|at| at <= now) {
-            self.limit_at = None;
+        if self.deadline_at.is_some_and(|at| at <= now) {
+            self.deadline_at = None;
             if self.state == State::Closing {
                 if let Some(conn) = self.connection() {
                     out.push(PeerOutput::Close(conn));
                 }
-                return self.down(now, DownReason::Disconnected, out);
+                return self.enter_closed(now, DownReason::Disconnected, out);
             }
-            return self.refuse(now, "opening took too long".to_owned(), out);
+            return self.abort_opening(now, "opening the connection timed out".to_owned(), out);
         }
         if self.dial_at.is_some_and(|at| at <= now) {
             return self.dial(now, out);
         }
         let action = self.watchdog.timeout(now, &mut self.rng);
-        self.watch(now, action, out);
+        self.apply_watchdog_action(now, action, out);
     }
 }
--- a/crates/lemoncleat-diameter/src/result_code.rs
+++ b/crates/lemoncleat-diameter/src/result_code.rs
@@ -1,6 +1,6 @@
 //! Result-Codes of RFC 6733 section 7.1.
 
-/// What a Result-Code's thousands say (section 7.1).
+/// Class of a Result-Code, given by its thousands digit (section 7.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Family {
     /// 1xxx.
@@ -13,11 +13,11 @@
     Transient,
     /// 5xxx.
     Permanent,
-    /// Anything else, to be treated as a permanent failure.
+    /// Any other code, to be treated as a permanent failure.
     Other,
 }
 
-/// The family of a code.
+/// Returns the class of a Result-Code.
 pub fn family(code: u32) -> Family {
     match code / 1000 {
         1 => Family::Informational,
@@ -32,7 +32,7 @@
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $code:literal;)*) => {
         $($(#[$doc])* pub const $name: u32 = $code;)*
-        /// The name that the RFC gives a code.
+        /// Returns the name of a Result-Code in the RFC.
         pub fn name(code: u32) -> Option<&'static str> {
             match code { $($code => Some(stringify!($name)),)* _ => None }
         }
@@ -40,19 +40,19 @@
 }
 
 codes! {
-    /// Done.
+    /// The request was completed successfully.
     SUCCESS = 2001;
-    /// The command is not known.
+    /// The command is not supported.
     COMMAND_UNSUPPORTED = 3001;
     /// The message could not be delivered to its destination.
     UNABLE_TO_DELIVER = 3002;
-    /// The realm is not known.
+    /// The realm is not served.
     REALM_NOT_SERVED = 3003;
-    /// The node can't take the request now.
+    /// The node cannot process the request now.
     TOO_BUSY = 3004;
-    /// The own identity stands in a Route-Record.
+    /// The node's own identity is in a Route-Record.
     LOOP_DETECTED = 3005;
-    /// The application is not known.
+    /// The application is not supported.
     APPLICATION_UNSUPPORTED = 3007;
     /// The bits of the header are invalid.
     INVALID_HDR_BITS = 3008;
@@ -60,34 +60,34 @@
     INVALID_AVP_BITS = 3009;
     /// The peer is not known.
     UNKNOWN_PEER = 3010;
-    /// Two peers dialled each other and this connection lost the election.
+    /// Both peers connected to each other and this connection lost the election.
     ELECTION_LOST = 4003;
-    /// An AVP with the M bit is not known.
+    /// An AVP with the M bit is not supported.
     AVP_UNSUPPORTED = 5001;
     /// The session is not known.
     UNKNOWN_SESSION_ID = 5002;
-    /// An AVP's value is invalid.
+    /// The value of an AVP is invalid.
     INVALID_AVP_VALUE = 5004;
     /// A required AVP is missing.
     MISSING_AVP = 5005;
-    /// Capacity is exceeded.
+    /// Resources are exceeded.
     RESOURCES_EXCEEDED = 5006;
-    /// An AVP that the message must not hold.
+    /// The message contains an AVP that is not allowed.
     AVP_NOT_ALLOWED = 5008;
-    /// An AVP stands more often than it may.
+    /// An AVP occurs more often than allowed.
     AVP_OCCURS_TOO_MANY_TIMES = 5009;
     /// The two peers have no application in common.
     NO_COMMON_APPLICATION = 5010;
-    /// The protocol's version is not 1.
+    /// The protocol version is not 1.
     UNSUPPORTED_VERSION = 5011;
-    /// The request can't be carried out, for a reason of the node's.
+    /// The request cannot be processed for another reason.
     UNABLE_TO_COMPLY = 5012;
     /// A reserved bit of the header is set.
     INVALID_BIT_IN_HEADER = 5013;
-    /// An AVP's length is invalid.
+    /// The length of an AVP is invalid.
     INVALID_AVP_LENGTH = 5014;
-    /// The message's length is invalid.
+    /// The length of the message is invalid.
     INVALID_MESSAGE_LENGTH = 5015;
-    /// Peers share no security mechanism.
+    /// The two peers have no security mechanism in common.
     NO_COMMON_SECURITY = 5017;
 }
--- a/crates/lemoncleat-diameter/src/transactions.rs
+++ b/crates/lemoncleat-diameter/src/transactions.rs
@@ -1,4 +1,4 @@
-//! Matching answers to requests (RFC 6733 section 6.2) and repeats to their first (section 5.5.4).
+//! Matches answers to requests (RFC 6733 section 6.2) and recognises repeated requests (section 5.5.4).
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,68 +7,69 @@
 
 use crate::Micros;
 
-/// Identifiers of requests that the application makes.
-const LOWER_HALF: u32 = 0x7fff_ffff;
+/// Range of the Hop-by-Hop Identifiers of application requests.
+const APPLICATION_ID_RANGE: u32 = 0x7fff_ffff;
 
-/// Requests out on one connection, by Hop-by-Hop Identifier.
+/// Outstanding requests of one connection, by Hop-by-Hop Identifier.
 #[derive(Debug)]
 pub struct HopByHop<T> {
     next: u32,
-    out: HashMap<u32, T>,
+    outstanding: HashMap<u32, T>,
 }
 
 impl<T> HopByHop<T> {
-    /// Identifiers begin at `first`, which should be random (section 3). They keep to the lower half of
-    /// their range; the upper half is the [`Peer`](crate::Peer)'s, for its own requests on the connection.
+    /// Identifiers start at `first`, which should be random (section 3). They use the lower half of the
+    /// range; the upper half is used by [`Peer`](crate::Peer) for its own requests on the connection.
     pub fn new(first: u32) -> Self {
-        HopByHop { next: first & LOWER_HALF, out: HashMap::new() }
+        HopByHop { next: first & APPLICATION_ID_RANGE, outstanding: HashMap::new() }
     }
 
-    /// Takes an identifier that is not in use for a request.
+    /// Records a request and returns an unused identifier for it.
     pub fn begin(&mut self, request: T) -> u32 {
-        while self.out.contains_key(&self.next) {
-            self.next = self.next.wrapping_add(1) & LOWER_HALF;
+        while self.outstanding.contains_key(&self.next) {
+            self.next = self.next.wrapping_add(1) & APPLICATION_ID_RANGE;
         }
         let id = self.next;
-        self.next = self.next.wrapping_add(1) & LOWER_HALF;
-        self.out.insert(id, request);
+        self.next = self.next.wrapping_add(1) & APPLICATION_ID_RANGE;
+        self.outstanding.insert(id, request);
         id
     }
 
-    /// The request that an answer belongs to; `None` for an unknown identifier (drop the answer).
+    /// Removes and returns the request that an answer belongs to; `None` for an unknown identifier, in which
+    /// case the answer must be dropped.
     pub fn finish(&mut self, id: u32) -> Option<T> {
-        self.out.remove(&id)
+        self.outstanding.remove(&id)
     }
 
-    /// The request that has an identifier, to change it.
+    /// Returns a mutable reference to the request with this identifier.
     pub fn get_mut(&mut self, id: u32) -> Option<&mut T> {
-        self.out.get_mut(&id)
+        self.outstanding.get_mut(&id)
     }
 
-    /// All requests that are out, in no order.
+    /// Returns an iterator over all outstanding requests, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
-        self.out.iter().map(|(id, request)| (*id, request))
+        self.outstanding.iter().map(|(id, request)| (*id, request))
     }
 
-    /// How many requests are out.
+    /// Returns the number of outstanding requests.
     pub fn len(&self) -> usize {
-        self.out.len()
+        self.outstanding.len()
     }
 
-    /// Whether none is out.
+    /// Returns whether no request is outstanding.
     pub fn is_empty(&self) -> bool {
-        self.out.is_empty()
+        self.outstanding.is_empty()
     }
 
-    /// Takes all requests that are out, in order of identifier.
+    /// Removes and returns all outstanding requests, in order of identifier.
     pub fn drain(&mut self) -> Vec<(u32, T)> {
-        let mut all: Vec<_> = self.out.drain().collect();
+        let mut all: Vec<_> = self.outstanding.drain().collect();
         all.sort_by_key(|(id, _)| *id);
         all
     }
 }
 
-/// What names a request over all connections: its origin and End-to-End Identifier.
+/// Identifies a request across connections by its origin and End-to-End Identifier.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EndToEnd {
     /// Origin-Host.
@@ -77,99 +78,99 @@
     pub id: u32,
 }
 
-/// What is known of a request that came in.
+/// Status of a received request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Seen<T> {
-    /// It is new, and remembered from now on.
+    /// The request is new and has been recorded.
     New,
-    /// It is being worked on.
+    /// The request is a repeat of one that is still being processed.
     Pending(T),
-    /// It was answered, with these bytes.
+    /// The request is a repeat of one that was answered with these bytes.
     Answered(T, Arc<[u8]>),
 }
 
 #[derive(Debug)]
-struct Known<T> {
+struct RecordedRequest<T> {
     work: T,
     answer: Option<Arc<[u8]>>,
     bytes: usize,
 }
 
-/// Requests lately received, so that a repeat is recognised and gets the same answer.
+/// Recently received requests, so that a repeated request is recognised and gets the same answer.
 ///
-/// It holds at most `most` requests, and answers for `keep` after they were given. When it is full the
-/// oldest answered one is forgotten early; requests still worked on are never forgotten here.
+/// Answers are kept for `retention` after they were sent, and at most `capacity` requests are recorded. Above
+/// that the oldest answered request is evicted early; requests still being processed are never evicted.
 #[derive(Debug)]
 pub struct Duplicates<T> {
-    known: HashMap<EndToEnd, Known<T>>,
+    recorded: HashMap<EndToEnd, RecordedRequest<T>>,
     answered: VecDeque<(Micros, EndToEnd)>,
-    keep: Micros,
-    most: usize,
+    retention: Micros,
+    capacity: usize,
     bytes: usize,
 }
 
 impl<T: Clone> Duplicates<T> {
-    /// An empty memory.
-    pub fn new(keep: Micros, most: usize) -> Self {
-        Duplicates { known: HashMap::new(), answered: VecDeque::new(), keep, most, bytes: 0 }
+    /// Creates an empty record.
+    pub fn new(retention: Micros, capacity: usize) -> Self {
+        Duplicates { recorded: HashMap::new(), answered: VecDeque::new(), retention, capacity, bytes: 0 }
     }
 
-    /// A request came in; if it is new it is remembered with `work`.
+    /// Looks up a received request; a new one is recorded with `work`.
     pub fn receive(&mut self, now: Micros, request: EndToEnd, work: T) -> Seen<T> {
-        self.forget(now);
-        if let Some(known) = self.known.get(&request) {
-            return match &known.answer {
-                Some(answer) => Seen::Answered(known.work.clone(), answer.clone()),
-                None => Seen::Pending(known.work.clone()),
+        self.evict_expired(now);
+        if let Some(entry) = self.recorded.get(&request) {
+            return match &entry.answer {
+                Some(answer) => Seen::Answered(entry.work.clone(), answer.clone()),
+                None => Seen::Pending(entry.work.clone()),
             };
         }
-        self.known.insert(request, Known { work, answer: None, bytes: 0 });
+        self.recorded.insert(request, RecordedRequest { work, answer: None, bytes: 0 });
         Seen::New
     }
 
-    /// A request was answered.
+    /// Records the answer to a request.
     pub fn answer(&mut self, now: Micros, request: &EndToEnd, answer: &[u8]) {
-        if let Some(known) = self.known.get_mut(request) {
-            if known.answer.is_none() {
-                known.answer = Some(answer.into());
-                known.bytes = answer.len();
+        if let Some(entry) = self.recorded.get_mut(request) {
+            if entry.answer.is_none() {
+                entry.answer = Some(answer.into());
+                entry.bytes = answer.len();
                 self.bytes += answer.len();
                 self.answered.push_back((now, request.clone()));
             }
         }
-        self.forget(now);
+        self.evict_expired(now);
     }
 
-    /// A request is given up without an answer: a repeat would be a new one.
+    /// Removes a request that will not be answered: a repeat of it counts as new.
     pub fn drop_pending(&mut self, request: &EndToEnd) {
-        if self.known.get(request).is_some_and(|known| known.answer.is_none()) {
-            self.known.remove(request);
+        if self.recorded.get(request).is_some_and(|entry| entry.answer.is_none()) {
+            self.recorded.remove(request);
         }
     }
 
-    /// How many requests are remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.recorded.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.recorded.is_empty()
     }
 
-    /// Bytes of the answers kept.
+    /// Returns the total size of the recorded answers in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.bytes
     }
 
-    fn forget(&mut self, now: Micros) {
-        while let Some((at, _)) = self.answered.front() {
-            if now - at < self.keep && self.known.len() <= self.most {
+    fn evict_expired(&mut self, now: Micros) {
+        while let Some((answered_at, _)) = self.answered.front() {
+            if now - answered_at < self.retention && self.recorded.len() <= self.capacity {
                 break;
             }
             if let Some((_, request)) = self.answered.pop_front() {
-                if let Some(known) = self.known.remove(&request) {
-                    self.bytes -= known.bytes;
+                if let Some(entry) = self.recorded.remove(&request) {
+                    self.bytes -= entry.bytes;
                 }
             }
         }
--- a/crates/lemoncleat-diameter/src/value.rs
+++ b/crates/lemoncleat-diameter/src/value.rs
@@ -1,4 +1,4 @@
-//! Typed values of AVPs (RFC 6733 sections 4.2 to 4.4).
+//! Typed AVP values (RFC 6733 sections 4.2 to 4.4).
 
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr};
@@ -6,58 +6,58 @@
 use crate::avp::{put_avp, AvpRef, MAX_DEPTH};
 use crate::dictionary::{self, Kind};
 
-/// An Address: of the IANA address families, IP is read and others are kept as they are.
+/// An Address value: IP addresses are decoded, those of other IANA address families are kept as bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Address {
-    /// Families 1 and 2.
+    /// An IPv4 (family 1) or IPv6 (family 2) address.
     Ip(IpAddr),
-    /// Any other.
+    /// Number and bytes of any other address family.
     Other(u16, Vec<u8>),
 }
 
-/// A value with its type.
+/// A decoded AVP value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Any bytes.
+    /// Arbitrary bytes.
     OctetString(Vec<u8>),
-    /// Signed, four bytes.
+    /// Signed 32-bit integer.
     Integer32(i32),
-    /// Signed, eight bytes.
+    /// Signed 64-bit integer.
     Integer64(i64),
-    /// Four bytes.
+    /// Unsigned 32-bit integer.
     Unsigned32(u32),
-    /// Eight bytes.
+    /// Unsigned 64-bit integer.
     Unsigned64(u64),
-    /// IEEE 754, four bytes.
+    /// IEEE 754 single precision.
     Float32(f32),
-    /// IEEE 754, eight bytes.
+    /// IEEE 754 double precision.
     Float64(f64),
-    /// Code, vendor, flags and value of each member; members that the dictionary lacks are OctetStrings.
+    /// Code, vendor, flags and value of each member; members missing from the dictionary are OctetStrings.
     Grouped(Vec<(u32, Option<u32>, u8, Value)>),
-    /// A family and an address.
+    /// An address family and an address.
     Address(Address),
     /// Seconds since 1900 (era 0).
     Time(u32),
-    /// Text.
+    /// UTF-8 text.
     Utf8String(String),
     /// A host or realm name.
     DiameterIdentity(String),
     /// A Diameter URI.
     DiameterUri(String),
-    /// One of a list of numbers.
+    /// A 32-bit integer with enumerated values.
     Enumerated(i32),
 }
 
-/// A value that is not what its type asks for.
+/// A value that does not conform to its type.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ValueError {
-    /// It has the wrong length (Result-Code 5014).
+    /// The length is wrong for the type (Result-Code 5014).
     Length(Kind, usize),
-    /// It has the right length and is not allowed (Result-Code 5004).
+    /// The content is not valid for the type (Result-Code 5004).
     Content(Kind),
-    /// It holds AVPs that don't fit (Result-Code 5014).
+    /// An AVP in the group cannot be read (Result-Code 5014).
     Member(crate::AvpError),
-    /// Groups in groups, deeper than is looked into (Result-Code 5004).
+    /// Groups are nested more deeply than is decoded (Result-Code 5004).
     Depth,
 }
 
@@ -75,25 +75,25 @@
 impl std::error::Error for ValueError {}
 
 impl Value {
-    /// Reads an AVP by the dictionary; one that it lacks is an OctetString.
+    /// Decodes an AVP by its dictionary type; an AVP missing from the dictionary is an OctetString.
     ///
     /// # Errors
     ///
-    /// When the bytes are not of the type.
+    /// Fails if the bytes are not valid for the type.
     pub fn read(avp: &AvpRef<'_>) -> Result<Value, ValueError> {
         read(avp, 0)
     }
 
-    /// Reads bytes as one type.
+    /// Decodes bytes as a value of the given type.
     ///
     /// # Errors
     ///
-    /// When the bytes are not of the type.
+    /// Fails if the bytes are not valid for the type.
     pub fn decode(kind: Kind, data: &[u8]) -> Result<Value, ValueError> {
         decode(kind, data, 0)
     }
 
-    /// Writes the value without the AVP's head.
+    /// Appends the encoded value, without an AVP header.
     pub fn encode(&self, out: &mut Vec<u8>) {
         match self {
             Value::OctetString(bytes) => out.extend_from_slice(bytes),
@@ -104,13 +104,13 @@
             Value::Float32(v) => out.extend_from_slice(&v.to_be_bytes()),
             Value::Float64(v) => out.extend_from_slice(&v.to_be_bytes()),
             Value::Address(address) => match address {
-                Address::Ip(IpAddr::V4(v4)) => {
+                Address::Ip(IpAddr::V4(ipv4)) => {
                     out.extend_from_slice(&1u16.to_be_bytes());
-                    out.extend_from_slice(&v4.octets());
+                    out.extend_from_slice(&ipv4.octets());
                 }
-                Address::Ip(IpAddr::V6(v6)) => {
+                Address::Ip(IpAddr::V6(ipv6)) => {
                     out.extend_from_slice(&2u16.to_be_bytes());
-                    out.extend_from_slice(&v6.octets());
+                    out.extend_from_slice(&ipv6.octets());
                 }
                 Address::Other(family, bytes) => {
                     out.extend_from_slice(&family.to_be_bytes());
@@ -137,25 +137,25 @@
 }
 
 fn decode(kind: Kind, data: &[u8], depth: usize) -> Result<Value, ValueError> {
-    let wrong = || ValueError::Length(kind, data.len());
-    let four = || data.try_into().map_err(|_| wrong());
-    let eight = || data.try_into().map_err(|_| wrong());
+    let wrong_len = || ValueError::Length(kind, data.len());
+    let four_bytes = || data.try_into().map_err(|_| wrong_len());
+    let eight_bytes = || data.try_into().map_err(|_| wrong_len());
     let text = || std::str::from_utf8(data).map(str::to_owned).map_err(|_| ValueError::Content(kind));
     Ok(match kind {
         Kind::OctetString => Value::OctetString(data.to_vec()),
-        Kind::Integer32 => Value::Integer32(i32::from_be_bytes(four()?)),
-        Kind::Enumerated => Value::Enumerated(i32::from_be_bytes(four()?)),
-        Kind::Unsigned32 => Value::Unsigned32(u32::from_be_bytes(four()?)),
-        Kind::Time => Value::Time(u32::from_be_bytes(four()?)),
-        Kind::Float32 => Value::Float32(f32::from_be_bytes(four()?)),
-        Kind::Integer64 => Value::Integer64(i64::from_be_bytes(eight()?)),
-        Kind::Unsigned64 => Value::Unsigned64(u64::from_be_bytes(eight()?)),
-        Kind::Float64 => Value::Float64(f64::from_be_bytes(eight()?)),
+        Kind::Integer32 => Value::Integer32(i32::from_be_bytes(four_bytes()?)),
+        Kind::Enumerated => Value::Enumerated(i32::from_be_bytes(four_bytes()?)),
+        Kind::Unsigned32 => Value::Unsigned32(u32::from_be_bytes(four_bytes()?)),
+        Kind::Time => Value::Time(u32::from_be_bytes(four_bytes()?)),
+        Kind::Float32 => Value::Float32(f32::from_be_bytes(four_bytes()?)),
+        Kind::Integer64 => Value::Integer64(i64::from_be_bytes(eight_bytes()?)),
+        Kind::Unsigned64 => Value::Unsigned64(u64::from_be_bytes(eight_bytes()?)),
+        Kind::Float64 => Value::Float64(f64::from_be_bytes(eight_bytes()?)),
         Kind::Utf8String => Value::Utf8String(text()?),
         Kind::DiameterIdentity => {
             let name = text()?;
-            let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
-            if name.is_empty() || !name.chars().all(fits) {
+            let is_name_char = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '.' | '_');
+            if name.is_empty() || !name.chars().all(is_name_char) {
                 return Err(ValueError::Content(kind));
             }
             Value::DiameterIdentity(name)
@@ -168,14 +168,14 @@
             Value::DiameterUri(uri)
         }
         Kind::Address => {
-            let Some((&[high, low], rest)) = data.split_first_chunk::<2>() else { return Err(wrong()) };
+            let Some((&[high, low], rest)) = data.split_first_chunk::<2>() else { return Err(wrong_len()) };
             Value::Address(match u16::from_be_bytes([high, low]) {
                 1 => {
-                    let octets: [u8; 4] = rest.try_into().map_err(|_| wrong())?;
+                    let octets: [u8; 4] = rest.try_into().map_err(|_| wrong_len())?;
                     Address::Ip(IpAddr::V4(Ipv4Addr::from(octets)))
                 }
                 2 => {
-                    let octets: [u8; 16] = rest.try_into().map_err(|_| wrong())?;
+                    let octets: [u8; 16] = rest.try_into().map_err(|_| wrong_len())?;
                     Address::Ip(IpAddr::V6(Ipv6Addr::from(octets)))
                 }
                 family => Address::Other(family, rest.to_vec()),
--- a/crates/lemoncleat-diameter/src/watchdog.rs
+++ b/crates/lemoncleat-diameter/src/watchdog.rs
@@ -1,40 +1,40 @@
-//! The watchdog of RFC 3539 section 3.4.1, as RFC 6733 section 5.5 has it.
+//! The watchdog algorithm of RFC 3539 section 3.4.1, as used by RFC 6733 section 5.5.
 
 use rand::rngs::SmallRng;
 use rand::Rng;
 
 use crate::Micros;
 
-/// The shortest Tw that RFC 3539 allows.
+/// Minimum Tw allowed by RFC 3539, in microseconds.
 pub const WATCHDOG_FLOOR: Micros = 6_000_000;
-/// Answers that a reopened connection must give before it is trusted again.
-const ANSWERS_TO_TRUST: i32 = 3;
+/// Number of answers required on a reopened connection before it is used for requests again.
+const REOPEN_ANSWERS_REQUIRED: i32 = 3;
 
-/// How far the peer is trusted.
+/// Watchdog state of a peer (RFC 3539 section 3.4.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchdogState {
-    /// Never connected yet.
+    /// Not connected yet, or disconnected gracefully.
     Initial,
-    /// It answers.
+    /// The peer responds.
     Okay,
-    /// One watchdog went unanswered for a whole Tw: nothing new is sent.
+    /// A watchdog request went unanswered for a whole Tw: no new requests are sent.
     Suspect,
-    /// No connection.
+    /// No connection after a failure.
     Down,
-    /// Connected again after a failure, and not trusted yet.
+    /// Connected again after a failure, and not yet used for requests.
     Reopen,
 }
 
-/// What the watchdog asks for.
+/// Actions requested by the watchdog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchdogAction {
     /// Send a Device-Watchdog-Request.
     Send,
-    /// Stop using the connection for requests and tell of those that are out.
+    /// Stop using the connection for requests and report those outstanding.
     Failover,
-    /// Use it again.
+    /// Use the connection for requests again.
     Failback,
-    /// Close it.
+    /// Close the connection.
     Close,
 }
 
@@ -44,114 +44,123 @@
     tw: Micros,
     jitter: Micros,
     state: WatchdogState,
-    pending: bool,
-    answers: i32,
+    awaiting_answer: bool,
+    reopen_answers: i32,
     due: Option<Micros>,
 }
 
 impl Watchdog {
-    /// A watchdog with this Tw; each wait is Tw give or take a jitter of 2 s, or of a third of Tw if that
-    /// is less.
+    /// Creates a watchdog with this Tw. Each interval is Tw with a random jitter of up to 2 s either way, or
+    /// of up to a third of Tw if that is less.
     pub fn new(tw: Micros) -> Self {
         let jitter = (tw / 3).min(2_000_000);
-        Watchdog { tw, jitter, state: WatchdogState::Initial, pending: false, answers: 0, due: None }
+        Watchdog {
+            tw,
+            jitter,
+            state: WatchdogState::Initial,
+            awaiting_answer: false,
+            reopen_answers: 0,
+            due: None,
+        }
     }
 
-    /// Its state.
+    /// Returns the state of the watchdog.
     pub fn state(&self) -> WatchdogState {
         self.state
     }
 
-    /// When [`Watchdog::timeout`] is due; `None` without a connection.
+    /// Returns the time at which [`Watchdog::timeout`] is due; `None` without a connection.
     pub fn due(&self) -> Option<Micros> {
         self.due
     }
 
-    fn set(&mut self, now: Micros, rng: &mut SmallRng) {
+    fn restart_timer(&mut self, now: Micros, rng: &mut SmallRng) {
         self.due = Some(now + self.tw + rng.random_range(-self.jitter..=self.jitter));
     }
 
-    /// The connection is open.
+    /// Handles the opening of a connection.
     pub fn connected(&mut self, now: Micros, rng: &mut SmallRng) -> Option<WatchdogAction> {
-        self.set(now, rng);
+        self.restart_timer(now, rng);
         if self.state == WatchdogState::Initial {
             self.state = WatchdogState::Okay;
-            self.pending = false;
+            self.awaiting_answer = false;
             return Some(WatchdogAction::Failback);
         }
         self.state = WatchdogState::Reopen;
-        self.answers = 0;
-        self.pending = true;
+        self.reopen_answers = 0;
+        self.awaiting_answer = true;
         Some(WatchdogAction::Send)
     }
 
-    /// The connection is gone. One that was ended in order (DPR) is no failure: the next is trusted at once.
-    pub fn disconnected(&mut self, in_order: bool) {
+    /// Handles the loss of the connection. A graceful disconnect (DPR) is no failure: the next connection is
+    /// used immediately.
+    pub fn disconnected(&mut self, graceful: bool) {
         self.due = None;
-        self.pending = false;
-        self.state = match (self.state, in_order) {
+        self.awaiting_answer = false;
+        self.state = match (self.state, graceful) {
             (_, true) | (WatchdogState::Initial, _) => WatchdogState::Initial,
             _ => WatchdogState::Down,
         };
     }
 
-    /// A Device-Watchdog-Answer came.
+    /// Handles a Device-Watchdog-Answer.
     pub fn answered(&mut self, now: Micros, rng: &mut SmallRng) -> Option<WatchdogAction> {
-        self.pending = false;
+        self.awaiting_answer = false;
         match self.state {
             WatchdogState::Reopen => {
-                self.answers = self.answers.max(0) + 1;
-                if self.answers < ANSWERS_TO_TRUST {
+                self.reopen_answers = self.reopen_answers.max(0) + 1;
+                if self.reopen_answers < REOPEN_ANSWERS_REQUIRED {
                     return None;
                 }
                 self.state = WatchdogState::Okay;
-                self.set(now, rng);
+                self.restart_timer(now, rng);
                 Some(WatchdogAction::Failback)
             }
             _ => self.heard(now, rng),
         }
     }
 
-    /// Anything else came. On a reopened connection it proves nothing.
+    /// Handles any other received message, which does not count as an answer on a reopened connection.
     pub fn heard(&mut self, now: Micros, rng: &mut SmallRng) -> Option<WatchdogAction> {
         match self.state {
             WatchdogState::Okay => {
-                self.set(now, rng);
+                self.restart_timer(now, rng);
                 None
             }
             WatchdogState::Suspect => {
                 self.state = WatchdogState::Okay;
-                self.set(now, rng);
+                self.restart_timer(now, rng);
                 Some(WatchdogAction::Failback)
             }
             _ => None,
         }
     }
 
-    /// This end got no turn for so long: the peer's silence meanwhile is not told from its own.
+    /// Extends the timer by the time for which this process did not run: messages from the peer could not be
+    /// received meanwhile.
     pub fn away(&mut self, time: Micros) {
         self.due = self.due.map(|due| due + time);
     }
 
-    /// The time at [`Watchdog::due`] has come.
+    /// Handles the expiry of the timer at [`Watchdog::due`].
     pub fn timeout(&mut self, now: Micros, rng: &mut SmallRng) -> Option<WatchdogAction> {
         if self.due.is_none_or(|due| due > now) {
             return None;
         }
-        match (self.state, self.pending) {
+        match (self.state, self.awaiting_answer) {
             (WatchdogState::Okay | WatchdogState::Reopen, false) => {
-                self.pending = true;
-                self.set(now, rng);
+                self.awaiting_answer = true;
+                self.restart_timer(now, rng);
                 Some(WatchdogAction::Send)
             }
             (WatchdogState::Okay, true) => {
                 self.state = WatchdogState::Suspect;
-                self.set(now, rng);
+                self.restart_timer(now, rng);
                 Some(WatchdogAction::Failover)
             }
-            (WatchdogState::Reopen, true) if self.answers >= 0 => {
-                self.answers = -1;
-                self.set(now, rng);
+            (WatchdogState::Reopen, true) if self.reopen_answers >= 0 => {
+                self.reopen_answers = -1;
+                self.restart_timer(now, rng);
                 None
             }
             (WatchdogState::Suspect | WatchdogState::Reopen, _) => {
@@ -174,71 +183,71 @@
 
     const TW: Micros = 30_000_000;
 
-    fn pass(dog: &mut Watchdog, rng: &mut SmallRng) -> (Micros, Option<WatchdogAction>) {
-        let due = dog.due().expect("a timer runs");
-        assert_eq!(dog.timeout(due - 1, rng), None, "not before it is due");
-        (due, dog.timeout(due, rng))
+    fn expire_timer(watchdog: &mut Watchdog, rng: &mut SmallRng) -> (Micros, Option<WatchdogAction>) {
+        let due = watchdog.due().expect("a running timer");
+        assert_eq!(watchdog.timeout(due - 1, rng), None, "no action before the timer is due");
+        (due, watchdog.timeout(due, rng))
     }
 
     #[test]
-    fn silence_is_suspect_after_one_more_tw_and_down_after_another() {
+    fn silent_peer_is_suspect_then_closed_after_two_more_intervals() {
         let mut rng = SmallRng::seed_from_u64(1);
-        let mut dog = Watchdog::new(TW);
-        assert_eq!(dog.connected(0, &mut rng), Some(WatchdogAction::Failback));
-        let (first, action) = pass(&mut dog, &mut rng);
+        let mut watchdog = Watchdog::new(TW);
+        assert_eq!(watchdog.connected(0, &mut rng), Some(WatchdogAction::Failback));
+        let (first, action) = expire_timer(&mut watchdog, &mut rng);
         assert_eq!(action, Some(WatchdogAction::Send));
         assert!((TW - 2_000_000..=TW + 2_000_000).contains(&first));
-        assert_eq!(pass(&mut dog, &mut rng).1, Some(WatchdogAction::Failover));
-        assert_eq!(dog.state(), WatchdogState::Suspect);
-        assert_eq!(pass(&mut dog, &mut rng).1, Some(WatchdogAction::Close));
-        assert_eq!((dog.state(), dog.due()), (WatchdogState::Down, None));
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, Some(WatchdogAction::Failover));
+        assert_eq!(watchdog.state(), WatchdogState::Suspect);
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, Some(WatchdogAction::Close));
+        assert_eq!((watchdog.state(), watchdog.due()), (WatchdogState::Down, None));
     }
 
     #[test]
-    fn any_message_clears_suspicion() {
+    fn any_message_returns_suspect_to_okay() {
         let mut rng = SmallRng::seed_from_u64(2);
-        let mut dog = Watchdog::new(TW);
-        dog.connected(0, &mut rng);
-        pass(&mut dog, &mut rng);
-        let (at, _) = pass(&mut dog, &mut rng);
-        assert_eq!(dog.heard(at + 1, &mut rng), Some(WatchdogAction::Failback));
-        assert_eq!(dog.state(), WatchdogState::Okay);
+        let mut watchdog = Watchdog::new(TW);
+        watchdog.connected(0, &mut rng);
+        expire_timer(&mut watchdog, &mut rng);
+        let (at, _) = expire_timer(&mut watchdog, &mut rng);
+        assert_eq!(watchdog.heard(at + 1, &mut rng), Some(WatchdogAction::Failback));
+        assert_eq!(watchdog.state(), WatchdogState::Okay);
     }
 
     #[test]
-    fn a_reopened_connection_is_trusted_after_three_answers_and_not_for_other_messages() {
+    fn reopened_connection_is_used_only_after_three_answers() {
         let mut rng = SmallRng::seed_from_u64(3);
-        let mut dog = Watchdog::new(TW);
-        dog.connected(0, &mut rng);
-        dog.disconnected(false);
-        assert_eq!(dog.connected(1, &mut rng), Some(WatchdogAction::Send));
-        assert_eq!(dog.heard(2, &mut rng), None);
-        assert_eq!(dog.answered(3, &mut rng), None);
-        assert_eq!(pass(&mut dog, &mut rng).1, Some(WatchdogAction::Send));
-        assert_eq!(dog.answered(TW * 2, &mut rng), None);
-        assert_eq!(dog.state(), WatchdogState::Reopen);
-        assert_eq!(pass(&mut dog, &mut rng).1, Some(WatchdogAction::Send));
-        assert_eq!(dog.answered(TW * 4, &mut rng), Some(WatchdogAction::Failback));
-        assert_eq!(dog.state(), WatchdogState::Okay);
+        let mut watchdog = Watchdog::new(TW);
+        watchdog.connected(0, &mut rng);
+        watchdog.disconnected(false);
+        assert_eq!(watchdog.connected(1, &mut rng), Some(WatchdogAction::Send));
+        assert_eq!(watchdog.heard(2, &mut rng), None);
+        assert_eq!(watchdog.answered(3, &mut rng), None);
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, Some(WatchdogAction::Send));
+        assert_eq!(watchdog.answered(TW * 2, &mut rng), None);
+        assert_eq!(watchdog.state(), WatchdogState::Reopen);
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, Some(WatchdogAction::Send));
+        assert_eq!(watchdog.answered(TW * 4, &mut rng), Some(WatchdogAction::Failback));
+        assert_eq!(watchdog.state(), WatchdogState::Okay);
     }
 
     #[test]
-    fn a_reopened_connection_that_stays_silent_gets_one_more_tw_and_is_closed() {
+    fn silent_reopened_connection_is_closed_after_second_interval() {
         let mut rng = SmallRng::seed_from_u64(4);
-        let mut dog = Watchdog::new(TW);
-        dog.connected(0, &mut rng);
-        dog.disconnected(false);
-        dog.connected(1, &mut rng);
-        assert_eq!(pass(&mut dog, &mut rng).1, None);
-        assert_eq!(pass(&mut dog, &mut rng).1, Some(WatchdogAction::Close));
+        let mut watchdog = Watchdog::new(TW);
+        watchdog.connected(0, &mut rng);
+        watchdog.disconnected(false);
+        watchdog.connected(1, &mut rng);
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, None);
+        assert_eq!(expire_timer(&mut watchdog, &mut rng).1, Some(WatchdogAction::Close));
     }
 
     #[test]
-    fn a_connection_ended_in_order_is_trusted_at_once_the_next_time() {
+    fn connection_is_used_immediately_after_graceful_disconnect() {
         let mut rng = SmallRng::seed_from_u64(5);
-        let mut dog = Watchdog::new(TW);
-        dog.connected(0, &mut rng);
-        dog.disconnected(true);
-        assert_eq!(dog.connected(1, &mut rng), Some(WatchdogAction::Failback));
+        let mut watchdog = Watchdog::new(TW);
+        watchdog.connected(0, &mut rng);
+        watchdog.disconnected(true);
+        assert_eq!(watchdog.connected(1, &mut rng), Some(WatchdogAction::Failback));
     }
 }
--- a/crates/lemoncleat-diameter/tests/peer.rs
+++ b/crates/lemoncleat-diameter/tests/peer.rs
@@ -1,4 +1,4 @@
-//! The peer machine, both ends played by hand.
+//! Tests of the peer state machine, with both ends driven by the test.
 
 use std::sync::Arc;
 
@@ -51,22 +51,22 @@
     step(peer, now, PeerInput::Accepted(conn, &cer))
 }
 
-/// The one message that was sent, and on which connection.
+/// Returns the only message that was sent, with its connection.
 fn sent(out: &[PeerOutput]) -> (ConnId, Vec<u8>) {
     let mut all = out.iter().filter_map(|o| match o {
         PeerOutput::Send(conn, bytes) => Some((*conn, bytes.clone())),
         _ => None,
     });
-    let one = all.next().expect("something is sent");
-    assert!(all.next().is_none(), "only one message is sent: {out:?}");
-    one
+    let only = all.next().expect("a sent message");
+    assert!(all.next().is_none(), "more than one message sent: {out:?}");
+    only
 }
 
 const A: ConnId = ConnId(1);
 const B: ConnId = ConnId(2);
 const C: ConnId = ConnId(3);
 
-fn connected() -> (Peer, Peer) {
+fn connected_pair() -> (Peer, Peer) {
     let (mut node, mut server) =
         (peer("node.example", "s.example", true), peer("s.example", "node.example", false));
     assert_eq!(step(&mut node, 0, PeerInput::Start), [PeerOutput::Dial]);
@@ -81,13 +81,13 @@
 }
 
 #[test]
-fn capabilities_open_both_ends() {
-    connected();
+fn capabilities_exchange_opens_both_ends() {
+    connected_pair();
 }
 
 #[test]
-fn a_watchdog_is_answered_and_its_answer_keeps_the_peer_trusted() {
-    let (mut node, mut server) = connected();
+fn answered_watchdog_keeps_peer_okay() {
+    let (mut node, mut server) = connected_pair();
     let due = node.due().expect("a watchdog");
     let (_, dwr) = sent(&step(&mut node, due, PeerInput::Timeout));
     let (_, dwa) = sent(&receive(&mut server, due, A, &dwr));
@@ -96,8 +96,8 @@
 }
 
 #[test]
-fn a_silent_peer_is_suspect_then_closed_and_after_reopening_trusted_at_the_third_answer() {
-    let (mut node, _) = connected();
+fn silent_peer_is_closed_and_usable_after_three_answers_when_reopened() {
+    let (mut node, _) = connected_pair();
     let mut seen = Vec::new();
     while !seen.contains(&PeerOutput::Down(DownReason::Watchdog)) {
         let now = node.due().expect("a timer");
@@ -105,14 +105,14 @@
     }
     let order: Vec<_> = seen.iter().filter(|o| !matches!(o, PeerOutput::Send(..))).collect();
     assert_eq!(order, [&PeerOutput::Suspect, &PeerOutput::Close(A), &PeerOutput::Down(DownReason::Watchdog)]);
-    let mut now = node.due().expect("a time to dial again");
+    let mut now = node.due().expect("a scheduled connection attempt");
     assert_eq!(step(&mut node, now, PeerInput::Timeout), [PeerOutput::Dial]);
     let (_, cer) = sent(&step(&mut node, now, PeerInput::Dialled(B)));
     let mut server = peer("s.example", "node.example", false);
     let (_, cea) = sent(&accept(&mut server, now, B, &cer));
     let out = receive(&mut node, now, B, &cea);
     let (_, mut dwr) = sent(&out);
-    assert!(!node.is_usable(), "not trusted before it answered");
+    assert!(!node.is_usable(), "not usable before watchdog answers");
     for round in 1..=3 {
         let (_, dwa) = sent(&receive(&mut server, now, B, &dwr));
         let out = receive(&mut node, now, B, &dwa);
@@ -126,13 +126,13 @@
 }
 
 #[test]
-fn when_both_ends_connect_the_later_name_keeps_the_connection_of_the_other() {
+fn greater_host_name_wins_election() {
     let (mut low, mut high) = (peer("a.example", "b.example", true), peer("b.example", "a.example", true));
     step(&mut low, 0, PeerInput::Start);
     step(&mut high, 0, PeerInput::Start);
     let (_, cer_low) = sent(&step(&mut low, 1, PeerInput::Dialled(A)));
     let (_, cer_high) = sent(&step(&mut high, 1, PeerInput::Dialled(B)));
-    // Each gets the other's CER on the connection that the other made.
+    // Each end receives the other's CER on the connection that the other end initiated.
     let out = accept(&mut low, 2, B, &cer_high);
     assert_eq!((out.len(), low.state()), (0, State::WaitReturns));
     let out = accept(&mut high, 2, A, &cer_low);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_loser_of_an_election_takes_the_peers_connection_if_its_own_is_closed() {
+fn election_loser_opens_peer_connection_when_own_is_closed() {
     let (mut low, mut high) = (peer("a.example", "b.example", true), peer("b.example", "a.example", true));
     step(&mut low, 0, PeerInput::Start);
     step(&mut high, 0, PeerInput::Start);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_cer_while_dialling_waits_for_the_dial_and_is_taken_if_that_fails() {
+fn cer_during_connect_is_answered_when_connect_fails() {
     let mut node = peer("a.example", "b.example", true);
     step(&mut node, 0, PeerInput::Start);
     let mut other = peer("b.example", "a.example", true);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn no_application_in_common_is_5010_and_the_connection_closes() {
+fn cer_without_common_application_is_rejected_with_5010() {
     let mut server = peer("s.example", "node.example", false);
     let cer = MessageBuilder::request(d::CMD_CAPABILITIES, 0, false, 1, 1)
         .add_str(d::ORIGIN_HOST, "node.example")
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_cea_with_the_wrong_name_or_a_refusal_closes_and_is_tried_again_later_and_later() {
+fn cea_from_wrong_host_closes_connection_and_backs_off() {
     let mut node = peer("node.example", "s.example", true);
     step(&mut node, 0, PeerInput::Start);
     let mut now = 0;
@@ -199,12 +199,12 @@
     for conn in 1..8 {
         let conn = ConnId(conn);
         let (_, cer) = sent(&step(&mut node, now, PeerInput::Dialled(conn)));
-        let mut liar = peer("liar.example", "node.example", false);
-        let (_, cea) = sent(&accept(&mut liar, now, conn, &cer));
+        let mut impostor = peer("impostor.example", "node.example", false);
+        let (_, cea) = sent(&accept(&mut impostor, now, conn, &cer));
         let out = receive(&mut node, now, conn, &cea);
         assert!(out.contains(&PeerOutput::Close(conn)));
-        assert!(matches!(&out[1], PeerOutput::Refused(why) if why.contains("liar.example")), "{out:?}");
-        let due = node.due().expect("a time to dial again");
+        assert!(matches!(&out[1], PeerOutput::Refused(why) if why.contains("impostor.example")), "{out:?}");
+        let due = node.due().expect("a scheduled connection attempt");
         waits.push(due - now);
         now = due;
         assert_eq!(step(&mut node, now, PeerInput::Timeout), [PeerOutput::Dial]);
@@ -214,25 +214,25 @@
 }
 
 #[test]
-fn a_dpr_is_answered_stops_requests_and_ends_in_order() {
-    let (mut node, mut server) = connected();
+fn dpr_is_answered_and_stops_requests() {
+    let (mut node, mut server) = connected_pair();
     let (_, dpr) = sent(&step(&mut server, 10, PeerInput::Disconnect(DisconnectCause::Rebooting)));
     let out = receive(&mut node, 11, A, &dpr);
     assert_eq!(out.last(), Some(&PeerOutput::Draining(DisconnectCause::Rebooting)));
     assert!(!node.is_usable());
-    assert_eq!(node.connection(), Some(A), "answers may still come");
+    assert_eq!(node.connection(), Some(A), "the connection remains open for answers");
     let (_, dpa) = sent(&out);
     let out = receive(&mut server, 12, A, &dpa);
     assert_eq!(out, [PeerOutput::Close(A), PeerOutput::Down(DownReason::Disconnected)]);
     let out = step(&mut node, 13, PeerInput::Closed(A));
     assert_eq!(out, [PeerOutput::Down(DownReason::Disconnected)]);
-    assert_eq!(node.watchdog(), WatchdogState::Initial, "an orderly end is no failure");
-    assert!(node.due().is_some_and(|due| due <= 13 + 100_000), "it dials again");
+    assert_eq!(node.watchdog(), WatchdogState::Initial, "a graceful disconnect is not a failure");
+    assert!(node.due().is_some_and(|due| due <= 13 + 100_000), "a connection attempt is scheduled");
 }
 
 #[test]
-fn an_answer_that_crosses_a_dpr_is_still_delivered_and_a_request_is_not() {
-    let (mut node, mut server) = connected();
+fn answer_after_dpr_is_delivered_and_request_is_dropped() {
+    let (mut node, mut server) = connected_pair();
     let (_, dpr) = sent(&step(&mut server, 10, PeerInput::Disconnect(DisconnectCause::Busy)));
     receive(&mut node, 11, A, &dpr);
     let answer = MessageBuilder::new(d::CMD_AA, 1, 0, 3, 3).build();
@@ -242,17 +242,17 @@
 }
 
 #[test]
-fn a_dpr_without_an_answer_ends_by_time() {
-    let (mut node, _) = connected();
+fn unanswered_dpr_closes_connection_at_timeout() {
+    let (mut node, _) = connected_pair();
     step(&mut node, 10, PeerInput::Disconnect(DisconnectCause::Rebooting));
-    let due = node.due().expect("a limit");
+    let due = node.due().expect("a close timeout");
     let out = step(&mut node, due, PeerInput::Timeout);
     assert_eq!(out, [PeerOutput::Close(A), PeerOutput::Down(DownReason::Disconnected)]);
-    assert_eq!(node.due(), None, "a peer that was ended here is not dialled again");
+    assert_eq!(node.due(), None, "no attempt after a local disconnect");
 }
 
 #[test]
-fn opening_that_takes_too_long_is_given_up() {
+fn open_timeout_closes_connection() {
     let mut node = peer("node.example", "s.example", true);
     step(&mut node, 0, PeerInput::Start);
     step(&mut node, 1, PeerInput::Dialled(A));
@@ -262,11 +262,11 @@
 }
 
 #[test]
-fn a_second_connection_is_turned_away_unless_it_may_replace_the_first() {
-    let (_, mut server) = connected();
-    let mut again = peer("node.example", "s.example", true);
-    step(&mut again, 0, PeerInput::Start);
-    let (_, cer) = sent(&step(&mut again, 1, PeerInput::Dialled(B)));
+fn second_connection_is_rejected_unless_replacement_is_allowed() {
+    let (_, mut server) = connected_pair();
+    let mut reconnecting = peer("node.example", "s.example", true);
+    step(&mut reconnecting, 0, PeerInput::Start);
+    let (_, cer) = sent(&step(&mut reconnecting, 1, PeerInput::Dialled(B)));
     assert_eq!(accept(&mut server, 5, B, &cer), [PeerOutput::Close(B)]);
 
     let settings = PeerSettings {
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn a_later_connection_replaces_one_that_has_stood_longer_than_an_election_and_must_prove_itself() {
+fn replacement_after_minimum_age_starts_in_reopen() {
     let settings = PeerSettings {
         host: "node.example".into(),
         dial: false,
@@ -297,29 +297,33 @@
         open_timeout: 1,
         close_timeout: 1,
     };
-    let mut again = peer("node.example", "s.example", true);
-    step(&mut again, 0, PeerInput::Start);
-    let (_, cer) = sent(&step(&mut again, 1, PeerInput::Dialled(B)));
+    let mut reconnecting = peer("node.example", "s.example", true);
+    step(&mut reconnecting, 0, PeerInput::Start);
+    let (_, cer) = sent(&step(&mut reconnecting, 1, PeerInput::Dialled(B)));
     let mut member = Peer::new(local("s.example"), settings, 3);
     accept(&mut member, 1, A, &cer);
-    assert_eq!(accept(&mut member, 2_000_000, B, &cer), [PeerOutput::Close(B)], "the loser of an election");
+    assert_eq!(
+        accept(&mut member, 2_000_000, B, &cer),
+        [PeerOutput::Close(B)],
+        "the loser of the election does not replace the open connection"
+    );
     let out = accept(&mut member, 2_000_001, C, &cer);
     assert_eq!(out[..2], [PeerOutput::Close(A), PeerOutput::Down(DownReason::Replaced)]);
     assert_eq!((member.connection(), member.is_usable()), (Some(C), false), "RFC 3539 section 3.4.1: REOPEN");
 }
 
 #[test]
-fn traffic_before_the_cea_closes_the_connection() {
+fn message_before_cea_closes_connection() {
     let mut node = peer("node.example", "s.example", true);
     step(&mut node, 0, PeerInput::Start);
     step(&mut node, 1, PeerInput::Dialled(A));
-    let early = MessageBuilder::new(d::CMD_AA, 1, 0, 3, 3).build();
-    assert_eq!(receive(&mut node, 2, A, &early)[0], PeerOutput::Close(A));
+    let early_answer = MessageBuilder::new(d::CMD_AA, 1, 0, 3, 3).build();
+    assert_eq!(receive(&mut node, 2, A, &early_answer)[0], PeerOutput::Close(A));
     assert_eq!(node.state(), State::Closed);
 }
 
 #[test]
-fn a_peer_at_rest_is_not_dialled_and_may_still_come_until_it_is_started() {
+fn resting_peer_accepts_connections_without_connecting_until_started() {
     let (mut a, mut b) = (peer("a.example", "b.example", true), peer("b.example", "a.example", true));
     a.rest();
     assert_eq!(a.due(), None);
@@ -328,6 +332,6 @@
     accept(&mut a, 0, ConnId(2), &cer);
     assert!(a.is_open());
     step(&mut a, 1, PeerInput::Closed(ConnId(2)));
-    assert!(a.is_idle(), "no dial is planned");
+    assert!(a.is_idle(), "no connection attempt is scheduled");
     assert_eq!(step(&mut a, 2, PeerInput::Start), [PeerOutput::Dial]);
 }
--- a/crates/lemoncleat-diameter/tests/transactions.rs
+++ b/crates/lemoncleat-diameter/tests/transactions.rs
@@ -1,52 +1,52 @@
-//! Matching answers and recognising repeats.
+//! Tests of matching answers to requests and recognising repeated requests.
 
 use lemoncleat_diameter::{Duplicates, EndToEnd, HopByHop, Seen};
 
-fn name(id: u32) -> EndToEnd {
+fn request_id(id: u32) -> EndToEnd {
     EndToEnd { host: "c.example".into(), id }
 }
 
 #[test]
-fn identifiers_in_use_are_passed_over_when_they_wrap() {
-    let mut out = HopByHop::new(u32::MAX);
-    assert_eq!(out.begin('a'), u32::MAX >> 1);
-    assert_eq!(out.begin('b'), 0);
-    assert_eq!(out.finish(u32::MAX >> 1), Some('a'));
-    assert_eq!(out.finish(u32::MAX >> 1), None, "an answer counts once");
-    assert_eq!(out.finish(77), None, "an unknown one never");
-    assert_eq!(out.drain(), [(0, 'b')]);
-    assert!(out.is_empty());
+fn identifiers_wrap_within_lower_half_and_match_once() {
+    let mut outstanding = HopByHop::new(u32::MAX);
+    assert_eq!(outstanding.begin('a'), u32::MAX >> 1);
+    assert_eq!(outstanding.begin('b'), 0);
+    assert_eq!(outstanding.finish(u32::MAX >> 1), Some('a'));
+    assert_eq!(outstanding.finish(u32::MAX >> 1), None, "a second answer has no request");
+    assert_eq!(outstanding.finish(77), None, "an unknown identifier has no request");
+    assert_eq!(outstanding.drain(), [(0, 'b')]);
+    assert!(outstanding.is_empty());
 }
 
 #[test]
-fn a_repeat_is_pending_then_answered_and_forgotten_after_its_time() {
-    let mut seen = Duplicates::new(100, 10);
-    assert_eq!(seen.receive(0, name(1), 'x'), Seen::New);
-    assert_eq!(seen.receive(1, name(1), 'y'), Seen::Pending('x'));
-    seen.answer(5, &name(1), b"done");
-    seen.answer(6, &name(1), b"another");
-    assert_eq!(seen.receive(104, name(1), 'z'), Seen::Answered('x', b"done"[..].into()));
-    assert_eq!(seen.receive(105, name(1), 'z'), Seen::New);
+fn repeat_is_pending_then_answered_then_new_after_retention() {
+    let mut duplicates = Duplicates::new(100, 10);
+    assert_eq!(duplicates.receive(0, request_id(1), 'x'), Seen::New);
+    assert_eq!(duplicates.receive(1, request_id(1), 'y'), Seen::Pending('x'));
+    duplicates.answer(5, &request_id(1), b"done");
+    duplicates.answer(6, &request_id(1), b"another");
+    assert_eq!(duplicates.receive(104, request_id(1), 'z'), Seen::Answered('x', b"done"[..].into()));
+    assert_eq!(duplicates.receive(105, request_id(1), 'z'), Seen::New);
 }
 
 #[test]
-fn when_full_the_oldest_answer_goes_and_pending_requests_stay() {
-    let mut seen = Duplicates::new(1000, 2);
+fn oldest_answer_is_evicted_when_full_and_pending_requests_are_kept() {
+    let mut duplicates = Duplicates::new(1000, 2);
     for id in 0..2 {
-        seen.receive(0, name(id), id);
+        duplicates.receive(0, request_id(id), id);
     }
-    seen.answer(1, &name(1), b"one");
-    assert_eq!(seen.receive(2, name(2), 2), Seen::New);
-    assert_eq!(seen.receive(3, name(3), 3), Seen::New);
-    assert_eq!(seen.receive(4, name(0), 9), Seen::Pending(0));
-    assert_eq!(seen.receive(5, name(1), 9), Seen::New);
-    assert_eq!(seen.answer_bytes(), 0);
+    duplicates.answer(1, &request_id(1), b"one");
+    assert_eq!(duplicates.receive(2, request_id(2), 2), Seen::New);
+    assert_eq!(duplicates.receive(3, request_id(3), 3), Seen::New);
+    assert_eq!(duplicates.receive(4, request_id(0), 9), Seen::Pending(0));
+    assert_eq!(duplicates.receive(5, request_id(1), 9), Seen::New);
+    assert_eq!(duplicates.answer_bytes(), 0);
 }
 
 #[test]
-fn a_request_given_up_without_an_answer_may_come_anew() {
-    let mut seen = Duplicates::new(1000, 2);
-    seen.receive(0, name(0), 1);
-    seen.drop_pending(&name(0));
-    assert_eq!(seen.receive(1, name(0), 2), Seen::New);
+fn dropped_pending_request_counts_as_new() {
+    let mut duplicates = Duplicates::new(1000, 2);
+    duplicates.receive(0, request_id(0), 1);
+    duplicates.drop_pending(&request_id(0));
+    assert_eq!(duplicates.receive(1, request_id(0), 2), Seen::New);
 }
