--- a/crates/lemoncleat-cli/src/access.rs
+++ b/crates/lemoncleat-cli/src/access.rs
@@ -13,54 +13,54 @@
 
 use crate::{signals, Failure};
 
-/// The platform's variables, and the product's own.
+// Environment variables defined by the platform and by this program.
 const CONFIG: &str = "BALANCER_CONFIG";
 const LISTEN: &str = "BALANCER_LISTEN";
 const NAME: &str = "BALANCER_NAME";
 const LOG: &str = "LEMONCLEAT_LOG";
 const FLEET: &str = "LEMONCLEAT_FLEET";
 
-/// With fewer descriptors no configuration is believed either: the node's own would leave nothing for
-/// callers.
-const LEAST_DESCRIPTORS: u32 = 64;
+/// Lower bound of the descriptor limit: with fewer, the node's own descriptors would leave none for callers.
+const MIN_DESCRIPTORS: u32 = 64;
 
-fn variable(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
 
-/// How many descriptors there are: what the configuration says, or what the machine gives this process where
-/// that is less. Beyond that nobody could be accepted until somebody leaves by himself.
-fn descriptors(told: u32) -> u32 {
-    let given = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    told.min(u32::try_from(given).unwrap_or(u32::MAX).max(LEAST_DESCRIPTORS))
+/// Returns the descriptor limit: the configured one or that of the process, whichever is lower. With a limit
+/// above that of the process no connection could be accepted until another caller disconnects.
+fn descriptor_limit(configured: u32) -> u32 {
+    let process_limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
+    configured.min(u32::try_from(process_limit).unwrap_or(u32::MAX).max(MIN_DESCRIPTORS))
 }
 
-/// A line on standard output. A node serves on, and ends in order, when nobody is there to read it.
-fn say(line: &str) {
+/// Prints a line to standard output. Write errors are ignored: the node keeps serving and shuts down
+/// gracefully even if nothing reads its output.
+fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
 pub fn run() -> Result<(), Failure> {
-    // Before all else: a signal that comes while the configuration is read must not end the process as a
-    // fault would.
-    let heeded = signals::heed()?;
-    let Some(file) = variable(CONFIG).map(PathBuf::from) else {
+    // Handlers are registered first: a signal received while the configuration is read must not kill the
+    // process.
+    let signal_stream = signals::register()?;
+    let Some(file) = environment_variable(CONFIG).map(PathBuf::from) else {
         return Err(Failure::Usage(format!("{CONFIG}: not set, expected the file of the configuration")));
     };
     let mut config = read_access_config(&file).map_err(Failure::Usage)?;
-    if let Some(listen) = variable(LISTEN) {
+    if let Some(listen) = environment_variable(LISTEN) {
         config.listen = listen.parse::<SocketAddr>().map_err(|_| {
             Failure::Usage(format!("{LISTEN}: expected an address and a port, got {listen:?}"))
         })?;
     }
-    if let Some(name) = variable(NAME) {
+    if let Some(name) = environment_variable(NAME) {
         config.name = name;
     }
-    config.limits.sockets = descriptors(config.limits.sockets);
-    let level = variable(LOG).unwrap_or_else(|| "info".to_owned());
+    config.limits.sockets = descriptor_limit(config.limits.sockets);
+    let level = environment_variable(LOG).unwrap_or_else(|| "info".to_owned());
     init_log(LogTo::Output, LogFormat::Text, &level)
         .map_err(|error| Failure::Usage(format!("{LOG}: {error}")))?;
-    let fleet = match variable(FLEET).as_deref() {
+    let fleet = match environment_variable(FLEET).as_deref() {
         None | Some("no") => false,
         Some("yes") => true,
         Some(other) => return Err(Failure::Usage(format!("{FLEET}: expected yes or no, got {other:?}"))),
@@ -72,8 +72,8 @@
     let name = file.display().to_string();
     let settings = AccessSettings { config, file, trace: level.contains("debug"), fleet };
     let stats = serve_access(settings, listener, |mailbox| {
-        say(&format!("listening on {bound}"));
-        signals::pass_on(heeded, mailbox, |signal| match signal {
+        print_line(&format!("listening on {bound}"));
+        signals::forward(signal_stream, mailbox, |signal| match signal {
             Signal::Hup => AccessControl::Reload,
             _ => AccessControl::Stop,
         });
@@ -82,7 +82,7 @@
         ServiceError::Settings(why) => Failure::Usage(format!("{name}: settings: {why}")),
         ServiceError::Io(error) => Failure::failed(error),
     })?;
-    say(&format!(
+    print_line(&format!(
         "stopped: {} calls, {} stood, {} refused, {} failed, {} cut",
         stats.calls, stats.stood, stats.refused, stats.failed, stats.cut
     ));
--- a/crates/lemoncleat-cli/src/args.rs
+++ b/crates/lemoncleat-cli/src/args.rs
@@ -20,32 +20,33 @@
 pub enum Command {
     /// Run an access node until it is stopped (SIGTERM or SIGINT).
     Node(NodeArgs),
-    /// Run an access node on the operators' platform, as its environment says.
+    /// Run an access node on the operators' platform, configured by environment variables.
     ///
-    /// BALANCER_CONFIG names the file of the configuration, BALANCER_LISTEN and BALANCER_NAME may stand in for what
-    /// it says. The log goes to standard output; LEMONCLEAT_LOG sets its level (debug tells of every call).
+    /// BALANCER_CONFIG names the configuration file; BALANCER_LISTEN and BALANCER_NAME override its values.
+    /// The log goes to standard output; LEMONCLEAT_LOG sets its level (debug logs every call).
     Access,
-    /// Check a settings file and say what is wrong with it.
+    /// Check a settings file and report what is wrong with it.
     Check(CheckArgs),
-    /// Play a day of trouble against access nodes on loopback, and judge it.
+    /// Run a scenario with faults (a day) against access nodes on loopback and check the rules.
     ///
-    /// The nodes are real, call servers, callers and list are stand-ins of the project. The judge reads only
-    /// what crossed the sockets.
+    /// The nodes are real; call servers, callers and server list are simulated. The rules are checked only
+    /// against the messages on the sockets.
     Rehearse(RehearseArgs),
-    /// Play whole days under a virtual clock, one a seed, with every rule judged at every step.
+    /// Simulate whole days under a virtual clock, one per seed, and check every rule at every step.
     Simulate(SimulateArgs),
-    /// Judge a capture that a rehearsal wrote.
+    /// Check the rules on a capture written by a rehearsal.
     Judge(JudgeArgs),
     /// Offer calls to a running node at a steady rate and measure set-up times.
     Load(LoadArgs),
-    /// Show and mind the circuits of a running node, over its control port.
+    /// Show and manage the circuits of a running node over its control port.
     Circuits(CircuitsArgs),
-    /// Show and mind the certificates that a node gets by ACME.
+    /// Show and manage the certificates that a node obtains by ACME.
     Cert(CertArgs),
-    /// Hold nodes without calls for `rehearse scale`, which starts this and says what to do on standard input.
+    /// Run nodes without calls for `rehearse scale`, which starts this process and sends orders on standard
+    /// input.
     #[command(hide = true)]
     Hollow,
-    /// The laboratory: stand-ins to try clients against, and measurements.
+    /// Laboratory tools: simulated servers for testing clients, and measurements.
     Lab(LabArgs),
 }
 
@@ -54,7 +55,7 @@
     /// The settings file (S-expressions; see docs/operate/node.md).
     #[arg(long, value_name = "FILE")]
     pub config: PathBuf,
-    /// Log lines as JSON, whatever the settings say.
+    /// Write log lines as JSON, regardless of the settings.
     #[arg(long)]
     pub log_json: bool,
 }
@@ -63,51 +64,52 @@
 pub struct CheckArgs {
     /// The settings file.
     pub file: PathBuf,
-    /// A text of the configuration that a fleet agrees on: whether a node with those settings could put it in force.
+    /// Also check whether a node with these settings could apply this text of a fleet's agreed configuration.
     #[arg(long, value_name = "FILE")]
     pub shared: Option<PathBuf>,
 }
 
 #[derive(ClapArgs)]
 pub struct RehearseArgs {
-    /// A built-in day (payday, glare, renewals, renewals-hard, calm, short and others), `agree`, `scale`, or the file
-    /// of a script.
+    /// A built-in day (payday, glare, renewals, renewals-hard, calm, short and others), `agree`, `scale`, or
+    /// a script file.
     ///
-    /// `agree` starts real processes that agree on operators' marks while voters are killed, paused and cut off.
-    /// `scale` plays a large fleet, most of it nodes without calls, many to a process.
+    /// `agree` starts real processes that agree on operators' marks while voters are killed, paused and
+    /// disconnected. `scale` runs a large fleet, most of it nodes without calls, many in one process.
     #[arg(default_value = "payday", conflicts_with = "bench_day")]
     pub day: String,
-    /// A day of the operators' bench, as JSON, in place of a script.
+    /// A day of the operators' bench, as JSON, instead of a script.
     #[arg(long, value_name = "FILE")]
     pub bench_day: Option<PathBuf>,
-    /// How many times faster a bench day runs.
+    /// Factor by which a bench day runs faster.
     #[arg(long, default_value_t = 2.0, requires = "bench_day")]
     pub speed: f64,
-    /// How many times as large a bench day's fleet and traffic are.
+    /// Scale factor of a bench day's fleet and traffic.
     #[arg(long, default_value_t = 0.25, requires = "bench_day")]
     pub size: f64,
-    /// How long calls arrive, in place of the script's; its troubles come over and over.
+    /// How long calls arrive, overriding the script; its faults are repeated over that time.
     #[arg(long, value_name = "SPAN")]
     pub length: Option<Span>,
-    /// How many nodes the rehearsals of a fleet start: 3 to 64 for `agree`, 24 to 1,024 for `scale`.
+    /// Number of nodes started by the fleet rehearsals: 3 to 64 for `agree`, 24 to 1,024 for `scale`.
     #[arg(long, default_value_t = 9, value_parser = clap::value_parser!(u32).range(3..=1_024))]
     pub nodes: u32,
-    /// How many nodes of `scale` are processes of their own and have calls.
+    /// Number of nodes of `scale` that run as separate processes and carry calls.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u32).range(1..=64))]
     pub real: u32,
-    /// How often a node of `scale` looks after others; by default 1s, in a fleet below 300 nodes 500ms.
+    /// Interval at which a node of `scale` probes other members; by default 1s, in a fleet below 300 nodes
+    /// 500ms.
     #[arg(long, value_name = "SPAN")]
     pub round: Option<Span>,
-    /// How many changes of configuration `scale` plays; 0 for none.
+    /// Number of configuration changes in `scale`; 0 for none.
     #[arg(long, default_value_t = 0)]
     pub changes: u32,
-    /// Seed of the stand-ins and nodes; by default the script's.
+    /// Seed of the simulated parties and of the nodes; by default that of the script.
     #[arg(long)]
     pub seed: Option<u64>,
     /// Write the verdict as JSON.
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
-    /// Write the capture of what crossed the sockets.
+    /// Write the capture of the messages on the sockets.
     #[arg(long, value_name = "FILE")]
     pub capture: Option<PathBuf>,
     /// Show the nodes' log at this level (warn, info, debug).
@@ -120,48 +122,48 @@
 pub struct SimulateArgs {
     #[command(subcommand)]
     pub command: Option<SimulateCommand>,
-    /// Seeds to play, as FIRST..END (END is not played).
-    #[arg(long, default_value = "0..1000", value_parser = seeds, conflicts_with = "seed")]
+    /// Seeds to run, as FIRST..END (END excluded).
+    #[arg(long, default_value = "0..1000", value_parser = parse_seed_range, conflicts_with = "seed")]
     pub seeds: (u64, u64),
-    /// Threads; by default as many as there are processors.
+    /// Number of threads; by default the number of processors.
     #[arg(long)]
     pub jobs: Option<usize>,
-    /// Begin no seed after so many minutes.
+    /// Start no further seed after this many minutes.
     #[arg(long, default_value_t = 60.0)]
     pub minutes: f64,
-    /// Play one seed and tell what it drew and came to.
+    /// Run one seed and print its scenario and result.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Print every record of that seed.
+    /// Print every record of this seed.
     #[arg(long, requires = "seed")]
     pub trace: bool,
-    /// Look for a smaller run that shows the same.
+    /// Search for a smaller scenario with the same finding.
     #[arg(long, requires = "seed", conflicts_with = "fleet")]
     pub shrink: bool,
-    /// Play the nodes' parts in a fleet in place of calls: who is there, facts, and the agreed log.
+    /// Simulate fleets instead of calls: membership, facts and the agreed log.
     #[arg(long)]
     pub fleet: bool,
-    /// Give every such fleet a configuration that operators change, not half of them.
+    /// Give every fleet, not only half of them, a configuration that operators change.
     #[arg(long, requires = "fleet")]
     pub configuration: bool,
-    /// How many nodes such a fleet has, 3 to 1,024.
+    /// Number of nodes of a fleet, 3 to 1,024.
     #[arg(long, default_value_t = 9, requires = "fleet", value_parser = clap::value_parser!(u32).range(3..=1_024))]
     pub nodes: u32,
 }
 
 #[derive(Subcommand)]
 pub enum SimulateCommand {
-    /// Play a chain of services whose last one fails for a while, by settings of attempts.
+    /// Simulate a chain of services whose last one fails for a while, with several settings of attempts.
     Chain(ChainArgs),
 }
 
 #[derive(ClapArgs)]
 pub struct ChainArgs {
-    /// Services, one below the other.
+    /// Number of services in the chain.
     #[arg(long, default_value_t = 29, value_parser = clap::value_parser!(u32).range(1..=64))]
     pub depth: u32,
-    /// Share that fails at the last, 0 to 1, or as a fraction (1/3).
-    #[arg(long, default_value = "1", value_parser = share)]
+    /// Share that fails at the last service, 0 to 1, or as a fraction (1/3).
+    #[arg(long, default_value = "1", value_parser = parse_share)]
     pub fails: f64,
     /// How it fails.
     #[arg(long, value_enum, default_value_t = FailingArg::Error)]
@@ -169,13 +171,13 @@
     /// What fails.
     #[arg(long, value_enum, default_value_t = PartArg::Servers)]
     pub part: PartArg,
-    /// Seeds to play, as FIRST..END (END is not played).
-    #[arg(long, default_value = "0..2", value_parser = seeds)]
+    /// Seeds to run, as FIRST..END (END excluded).
+    #[arg(long, default_value = "0..2", value_parser = parse_seed_range)]
     pub seeds: (u64, u64),
-    /// Settings to play, by name; all by default.
+    /// Settings to simulate, by name; by default all.
     #[arg(long = "variant", value_name = "NAME")]
     pub variants: Vec<String>,
-    /// Threads; by default as many as there are processors.
+    /// Number of threads; by default the number of processors.
     #[arg(long)]
     pub jobs: Option<usize>,
     /// Write the figures as JSON.
@@ -185,28 +187,28 @@
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub enum FailingArg {
-    /// Worked on and answered with an error.
+    /// Set-ups are processed and answered with an error.
     Error,
-    /// Worked on and never answered.
+    /// Set-ups are processed and never answered.
     Silence,
-    /// Refused at once.
+    /// Set-ups are refused immediately.
     Refusal,
 }
 
 #[derive(Clone, Copy, Debug, clap::ValueEnum)]
 pub enum PartArg {
-    /// Some servers, with all their set-ups.
+    /// All set-ups at some of the servers.
     Servers,
-    /// Set-ups by chance, at every server.
+    /// Random set-ups at every server.
     SetUps,
 }
 
-/// A share, as a number or a fraction.
-fn share(text: &str) -> Result<f64, String> {
-    let number = |text: &str| text.parse::<f64>().map_err(|_| format!("{text:?} is no number"));
+/// Parses a share from 0 to 1, given as a number or a fraction.
+fn parse_share(text: &str) -> Result<f64, String> {
+    let parse_number = |text: &str| text.parse::<f64>().map_err(|_| format!("{text:?} is not a number"));
     let share = match text.split_once('/') {
-        Some((part, whole)) => number(part)? / number(whole)?,
-        None => number(text)?,
+        Some((numerator, denominator)) => parse_number(numerator)? / parse_number(denominator)?,
+        None => parse_number(text)?,
     };
     if (0.0..=1.0).contains(&share) {
         Ok(share)
@@ -215,11 +217,11 @@
     }
 }
 
-/// Two numbers with `..` between.
-fn seeds(text: &str) -> Result<(u64, u64), String> {
+/// Parses a range of seeds, FIRST..END.
+fn parse_seed_range(text: &str) -> Result<(u64, u64), String> {
     let (first, end) = text.split_once("..").ok_or("expected FIRST..END")?;
-    let number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is no number"));
-    let (first, end) = (number(first)?, number(end)?);
+    let parse_number = |text: &str| text.parse::<u64>().map_err(|_| format!("{text:?} is not a number"));
+    let (first, end) = (parse_number(first)?, parse_number(end)?);
     if first < end {
         Ok((first, end))
     } else {
@@ -229,7 +231,7 @@
 
 #[derive(ClapArgs)]
 pub struct JudgeArgs {
-    /// The capture.
+    /// The capture file.
     pub file: PathBuf,
     /// Write the verdict as JSON.
     #[arg(long, value_name = "FILE")]
@@ -238,13 +240,13 @@
 
 #[derive(ClapArgs)]
 pub struct LoadArgs {
-    /// Where the node listens.
+    /// Address on which the node listens.
     #[arg(long, value_name = "ADDRESS")]
     pub address: SocketAddr,
     /// The node's Origin-Host.
     #[arg(long, default_value = "node-0.lab")]
     pub node: String,
-    /// Its realm.
+    /// The node's realm.
     #[arg(long, default_value = "lab")]
     pub realm: String,
     /// An Origin-Host to connect as; may be given several times, one connection each.
@@ -253,19 +255,19 @@
     /// A number to call; may be given several times, called in turn.
     #[arg(long = "called", value_name = "NUMBER", required = true)]
     pub called: Vec<String>,
-    /// Calls a second.
+    /// Calls per second.
     #[arg(long, default_value = "100/s")]
     pub rate: Rate,
-    /// How long the rate takes to grow to that.
+    /// Duration of the ramp from zero to the full rate.
     #[arg(long, default_value = "2s")]
     pub ramp: Span,
     /// How long calls are offered, the ramp included.
     #[arg(long, default_value = "10s")]
     pub duration: Span,
-    /// Mean length of a call.
+    /// Mean call length.
     #[arg(long, default_value = "2s")]
     pub length: Span,
-    /// How long a caller waits.
+    /// How long a caller waits for an answer.
     #[arg(long, default_value = "3s")]
     pub patience: Span,
     /// Seed of the arrivals.
@@ -278,7 +280,7 @@
 
 #[derive(ClapArgs)]
 pub struct CircuitsArgs {
-    /// The node's control port, as it said at its start.
+    /// The node's control port, as printed at its start.
     #[arg(long, value_name = "ADDRESS")]
     pub control: SocketAddr,
     /// Print the node's answer as JSON.
@@ -290,18 +292,18 @@
 
 #[derive(Subcommand)]
 pub enum CircuitsCommand {
-    /// All trunk groups (the default).
+    /// List all trunk groups (the default).
     List,
-    /// The circuits toward a server that are not simply idle.
+    /// Show the circuits toward a server that are not idle.
     Show {
         /// The server's Origin-Host.
         server: String,
     },
-    /// Block circuits: calls on them go on, unless it is for a hardware failure.
+    /// Block circuits; calls on them continue, unless blocked for a hardware failure.
     Block(RangeArgs),
-    /// Take a block back.
+    /// Unblock circuits.
     Unblock(RangeArgs),
-    /// Reset circuits: whatever they hold is over.
+    /// Reset circuits; calls on them are released.
     Reset(RangeArgs),
     /// Audit a group now.
     Audit {
@@ -316,10 +318,10 @@
     pub server: String,
     /// The first circuit.
     pub first: u32,
-    /// How many.
+    /// Number of circuits.
     #[arg(default_value_t = 1)]
     pub count: u32,
-    /// For a hardware failure: calls there are over at once.
+    /// Block for a hardware failure; calls on the circuits are released immediately.
     #[arg(long)]
     pub hardware: bool,
 }
@@ -335,33 +337,33 @@
 
 #[derive(Subcommand)]
 pub enum CertCommand {
-    /// What is stored, and how the latest tries went (the default).
+    /// Show the stored certificates and the latest attempts (the default).
     Show {
-        /// Print it as JSON.
+        /// Print as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Order a certificate now, where no node runs that would.
+    /// Order a certificate now, without a running node.
     ///
-    /// It serves http-01 by itself; tls-alpn-01 is answered by a running node alone.
+    /// Only http-01 challenges can be answered; tls-alpn-01 requires a running node.
     Request,
     /// Have a running node order a new certificate now, over its control port.
     Renew {
-        /// The node's control port, as it said at its start; by default that of the settings.
+        /// The node's control port, as printed at its start; by default that of the settings.
         #[arg(long, value_name = "ADDRESS")]
         control: Option<SocketAddr>,
     },
-    /// Revoke a stored certificate and forget it. A running node shows another, or orders one.
+    /// Revoke a stored certificate and delete it. A running node uses another one, or orders one.
     Revoke {
-        /// Its name, as `show` tells it.
+        /// Name of the certificate, as printed by `show`.
         id: String,
         /// The reason (RFC 5280 section 5.3.1): 0 unspecified, 1 key compromise, 4 superseded, 5 cessation.
         #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u32).range(0..=10))]
         reason: u32,
     },
-    /// Put a new key in place of the account's.
+    /// Replace the key of the ACME account.
     RollKey {
-        /// The new key's kind.
+        /// Type of the new key.
         #[arg(long, value_enum, default_value_t = KeyArg::Es256)]
         kind: KeyArg,
     },
@@ -383,31 +385,31 @@
 
 #[derive(Subcommand)]
 pub enum LabCommand {
-    /// Keep one node with stand-in servers and list up until signalled.
+    /// Run one node with simulated servers and server list until a signal is received.
     Up(UpArgs),
-    /// Play dual seizure by selection order and load: a table and a plot.
+    /// Simulate dual seizure by selection order and load; prints a table and writes a plot.
     Glare(GlareArgs),
-    /// Play a fleet's renewals over months: a table and a plot.
+    /// Simulate a fleet's certificate renewals over months; prints a table and writes a plot.
     Renewals(RenewalsArgs),
-    /// Measure a node against a bare relay on the same drivers, in one run.
+    /// Measure a node and a plain relay on the same drivers, in one run.
     Measure(MeasureArgs),
 }
 
 #[derive(ClapArgs)]
 pub struct UpArgs {
-    /// Print one JSON object in the first line, once all is up.
+    /// Print one JSON object as the first line, once everything is running.
     #[arg(long)]
     pub json: bool,
-    /// Stand-in servers.
+    /// Number of simulated servers.
     #[arg(long, default_value_t = 2)]
     pub servers: u16,
-    /// Calls a second that each of them can carry.
+    /// Calls per second that each server can carry.
     #[arg(long, default_value = "1000/s")]
     pub capacity: Rate,
-    /// Give each server a trunk group of so many circuits, and the node a control port.
+    /// Give each server a trunk group of this many circuits, and the node a control port.
     #[arg(long, value_name = "CIRCUITS")]
     pub circuits: Option<u32>,
-    /// Origin-Hosts that the node accepts as clients, beside client-1.lab to client-8.lab.
+    /// Origin-Hosts that the node accepts as clients, in addition to client-1.lab to client-8.lab.
     #[arg(long = "client", value_name = "HOST")]
     pub clients: Vec<String>,
     /// Show the node's log at this level.
@@ -417,13 +419,13 @@
 
 #[derive(ClapArgs)]
 pub struct GlareArgs {
-    /// Circuits of the group.
+    /// Number of circuits of the group.
     #[arg(long, default_value_t = 30)]
     pub circuits: u32,
-    /// Seeds that each figure is the mean of.
+    /// Number of seeds averaged for each figure.
     #[arg(long, default_value_t = 10)]
     pub seeds: u64,
-    /// How long calls arrive in each run, in the run's own time.
+    /// How long calls arrive in each run, in simulated time.
     #[arg(long, default_value = "5min")]
     pub duration: Span,
     /// Write the plot (SVG).
@@ -433,7 +435,7 @@
 
 #[derive(ClapArgs)]
 pub struct RenewalsArgs {
-    /// Nodes of the fleet.
+    /// Number of nodes of the fleet.
     #[arg(long, default_value_t = 1_000)]
     pub nodes: u64,
     /// Seed of the fleet's nodes.
@@ -446,10 +448,10 @@
 
 #[derive(ClapArgs)]
 pub struct MeasureArgs {
-    /// How long each measurement takes.
+    /// Duration of each measurement.
     #[arg(long, default_value = "6s")]
     pub duration: Span,
-    /// The steady rate at which added time is measured.
+    /// Steady rate at which the added set-up time is measured.
     #[arg(long, default_value = "810/s")]
     pub rate: Rate,
     /// Print the figures as JSON.
--- a/crates/lemoncleat-cli/src/cert.rs
+++ b/crates/lemoncleat-cli/src/cert.rs
@@ -13,19 +13,19 @@
 use serde_json::json;
 
 use crate::args::{CertArgs, CertCommand, KeyArg};
-use crate::control::ask;
-use crate::node::read;
+use crate::control::send_request;
+use crate::node::read_settings;
 use crate::Failure;
 
 pub fn run(args: &CertArgs) -> Result<(), Failure> {
-    let config = read(&args.config)?;
+    let config = read_settings(&args.config)?;
     match &args.command {
-        None => show(&settings(&config, &args.config)?, false),
-        Some(CertCommand::Show { json }) => show(&settings(&config, &args.config)?, *json),
-        Some(CertCommand::Request) => request(settings(&config, &args.config)?),
+        None => show(&acme_settings(&config, &args.config)?, false),
+        Some(CertCommand::Show { json }) => show(&acme_settings(&config, &args.config)?, *json),
+        Some(CertCommand::Request) => request(acme_settings(&config, &args.config)?),
         Some(CertCommand::Renew { control }) => renew(control.or(config.service.control)),
         Some(CertCommand::Revoke { id, reason }) => {
-            revoke(&settings(&config, &args.config)?, id, *reason).map_err(Failure::Failed)?;
+            revoke(&acme_settings(&config, &args.config)?, id, *reason).map_err(Failure::Failed)?;
             println!("{id} is revoked");
             Ok(())
         }
@@ -34,14 +34,14 @@
                 KeyArg::Es256 => KeyKind::Es256,
                 KeyArg::Eddsa => KeyKind::EdDsa,
             };
-            let told = roll_key(&settings(&config, &args.config)?, kind).map_err(Failure::Failed)?;
-            println!("{told}");
+            let result = roll_key(&acme_settings(&config, &args.config)?, kind).map_err(Failure::Failed)?;
+            println!("{result}");
             Ok(())
         }
     }
 }
 
-fn settings(config: &Config, file: &Path) -> Result<KeeperSettings, Failure> {
+fn acme_settings(config: &Config, file: &Path) -> Result<KeeperSettings, Failure> {
     match config.service.tls.as_ref().map(|tls| &tls.source) {
         Some(TlsSource::Acme(settings)) => Ok((**settings).clone()),
         _ => Err(Failure::Usage(format!("{}: tls.acme: missing, expected an authority", file.display()))),
@@ -52,12 +52,12 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_secs() as i64)
 }
 
-fn date(at: i64) -> String {
-    // The end of the year 9999 is the last that can be told.
-    httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(at.clamp(0, 253_402_300_799) as u64))
+fn format_date(timestamp: i64) -> String {
+    // HTTP dates can represent times up to the end of the year 9999.
+    httpdate::fmt_http_date(UNIX_EPOCH + Duration::from_secs(timestamp.clamp(0, 253_402_300_799) as u64))
 }
 
-fn state(from: i64, until: i64, now: i64) -> &'static str {
+fn validity_state(from: i64, until: i64, now: i64) -> &'static str {
     match (now < from, now < until) {
         (true, _) => "not yet",
         (false, true) => "valid",
@@ -72,11 +72,11 @@
     if as_json {
         let certificates: Vec<_> = certificates
             .iter()
-            .map(|held| {
-                let validity = held.chain.validity;
+            .map(|stored| {
+                let validity = stored.chain.validity;
                 json!({
-                    "id": held.id, "from": validity.from, "until": validity.until, "names": held.chain.names,
-                    "state": state(validity.from, validity.until, now), "top": held.chain.top,
+                    "id": stored.id, "from": validity.from, "until": validity.until, "names": stored.chain.names,
+                    "state": validity_state(validity.from, validity.until, now), "top": stored.chain.top,
                 })
             })
             .collect();
@@ -90,14 +90,14 @@
         return Ok(());
     }
     println!("{:<24} {:<8} {:<30} names", "certificate", "state", "until");
-    for held in &certificates {
-        let validity = held.chain.validity;
+    for stored in &certificates {
+        let validity = stored.chain.validity;
         println!(
             "{:<24} {:<8} {:<30} {}",
-            held.id,
-            state(validity.from, validity.until, now),
-            date(validity.until),
-            held.chain.names.join(" ")
+            stored.id,
+            validity_state(validity.from, validity.until, now),
+            format_date(validity.until),
+            stored.chain.names.join(" ")
         );
     }
     println!("account: {}", account.as_deref().unwrap_or("none yet"));
@@ -108,7 +108,7 @@
         println!(
             "{} failures in a row, the last on {}: {}",
             tried.failures,
-            date(tried.failed_at),
+            format_date(tried.failed_at),
             tried.error
         );
     }
@@ -118,10 +118,10 @@
     Ok(())
 }
 
-/// Runs a keeper until it has a new certificate or has failed.
+/// Runs the certificate renewal until it has obtained a new certificate or failed.
 fn request(settings: KeeperSettings) -> Result<(), Failure> {
     if settings.challenge != ChallengeKind::Http01 {
-        let why = "tls-alpn-01 is answered by a running node alone: start it, or use `cert renew`";
+        let why = "tls-alpn-01 challenges are answered only by a running node: start it, or use `cert renew`";
         return Err(Failure::Usage(why.to_owned()));
     }
     let limit = settings.try_time + Duration::from_secs(30);
@@ -134,7 +134,7 @@
     loop {
         match events.recv_timeout(limit) {
             Ok(KeeperEvent::Notice(RenewerNotice::Renewed(until))) => {
-                println!("new certificate, valid until {}", date(until));
+                println!("new certificate, valid until {}", format_date(until));
                 return Ok(());
             }
             Ok(KeeperEvent::Notice(RenewerNotice::TryFailed { error, .. })) => {
@@ -142,7 +142,9 @@
             }
             Ok(KeeperEvent::Complaint(why)) => eprintln!("{why}"),
             Ok(_) => {}
-            Err(_) => return Err(Failure::Failed("nothing came of it in time".to_owned())),
+            Err(_) => {
+                return Err(Failure::Failed("the certificate order was not finished in time".to_owned()))
+            }
         }
     }
 }
@@ -153,7 +155,7 @@
             "--control: missing, expected the running node's control port".to_owned(),
         ));
     };
-    let answer = ask(control, &json!({"op": "renew"}))?;
+    let answer = send_request(control, &json!({"op": "renew"}))?;
     if answer["ok"] != true {
         return Err(Failure::Failed(answer["error"].as_str().unwrap_or("no answer").to_owned()));
     }
--- a/crates/lemoncleat-cli/src/chain.rs
+++ b/crates/lemoncleat-cli/src/chain.rs
@@ -9,7 +9,7 @@
 use crate::args::{ChainArgs, FailingArg, PartArg};
 use crate::Failure;
 
-/// The mean of what the runs came to.
+/// Returns the mean of a figure over the outcomes of the runs.
 fn mean(outcomes: &[Outcome], of: impl Fn(&Outcome) -> f64) -> f64 {
     outcomes.iter().map(of).sum::<f64>() / outcomes.len().max(1) as f64
 }
@@ -43,7 +43,7 @@
         .collect();
     let jobs = args.jobs.or_else(|| std::thread::available_parallelism().ok().map(usize::from)).unwrap_or(1);
     let next = AtomicUsize::new(0);
-    let (sender, done) = mpsc::channel();
+    let (sender, results) = mpsc::channel();
     std::thread::scope(|scope| {
         for _ in 0..jobs.clamp(1, plans.len()) {
             let (sender, next, plans) = (sender.clone(), &next, &plans);
@@ -58,7 +58,7 @@
     });
     drop(sender);
     let mut runs = Vec::new();
-    for (plan, outcome) in done {
+    for (plan, outcome) in results {
         runs.push((plan, outcome.map_err(Failure::failed)?));
     }
     runs.sort_by_key(|(plan, _)| plan.seed);
@@ -70,23 +70,25 @@
     let mut rows = Vec::new();
     let mut broken = Vec::new();
     for variant in variants {
-        let some: Vec<Outcome> = runs
+        let outcomes_of_variant: Vec<Outcome> = runs
             .iter()
             .filter(|(plan, _)| plan.variant == variant)
             .map(|(_, outcome)| outcome.clone())
             .collect();
-        let three =
-            |of: &dyn Fn(&Outcome, usize) -> f64| [0, 1, 2].map(|span| mean(&some, |one| of(one, span)));
+        let three = |of: &dyn Fn(&Outcome, usize) -> f64| {
+            [0, 1, 2].map(|span| mean(&outcomes_of_variant, |one| of(one, span)))
+        };
         let share = three(&|one, span| one.spans[span].share());
         let bottom = three(&|one, span| one.spans[span].amplification(last));
         let top = three(&|one, span| one.spans[span].amplification(0));
         let all = three(&|one, span| (0..=last).map(|level| one.spans[span].amplification(level)).sum());
         let late = three(&|one, span| one.spans[span].late as f64 / one.spans[span].entered.max(1) as f64);
         let left = three(&|one, span| one.spans[span].left[last].half);
-        let most = mean(&some, |one| one.bottom_most as f64 / one.bottom_capacity);
-        let load = mean(&some, |one| one.bottom_before / one.bottom_capacity);
-        let rests: Option<Vec<f64>> = some.iter().map(|one| one.at_rest).collect();
-        let rest = rests.as_ref().map(|rests| rests.iter().copied().fold(0.0, f64::max));
+        let most = mean(&outcomes_of_variant, |one| one.bottom_most as f64 / one.bottom_capacity);
+        let load = mean(&outcomes_of_variant, |one| one.bottom_before / one.bottom_capacity);
+        let rest_times: Option<Vec<f64>> = outcomes_of_variant.iter().map(|one| one.at_rest).collect();
+        let longest_rest =
+            rest_times.as_ref().map(|rest_times| rest_times.iter().copied().fold(0.0, f64::max));
         println!(
             "  {:<16} in time {:.3} {:.3} {:.3}; attempts a call at the top {:.2} {:.2} {:.2}, at the last {:.2} \
              {:.2} {:.2}, late {:.2}; last level's load {load:.2}, most {most:.2}; at rest {}",
@@ -101,18 +103,18 @@
             bottom[1],
             bottom[2],
             late[1],
-            rest.map_or("not".to_owned(), |rest| format!("after {rest:.0} s")),
+            longest_rest.map_or("not".to_owned(), |longest_rest| format!("after {longest_rest:.0} s")),
         );
         for (plan, outcome) in runs.iter().filter(|(plan, _)| plan.variant == variant) {
             if let Some(why) = &outcome.broken {
                 broken.push(format!("{} seed {}: {why}", variant.name, plan.seed));
             }
         }
-        let first = some.first();
+        let first = outcomes_of_variant.first();
         rows.push(json!({
             "variant": variant, "in_time": share, "attempts_top": top, "attempts_last": bottom,
             "attempts_all": all, "late_attempts": late, "left_last_half_ms": left,
-            "last_load": load, "last_most": most, "at_rest_s": rest,
+            "last_load": load, "last_most": most, "at_rest_s": longest_rest,
             "first_seed": first.map(|one| json!({
                 "attempts_while": (0..=last).map(|level| one.spans[1].amplification(level)).collect::<Vec<_>>(),
                 "left_before": one.spans[0].left, "left_while": one.spans[1].left, "last_by_second": one.bottom,
@@ -131,5 +133,5 @@
         return Ok(());
     }
     broken.iter().for_each(|why| println!("BROKEN: {why}"));
-    Err(Failure::Told)
+    Err(Failure::Reported)
 }
--- a/crates/lemoncleat-cli/src/circuits.rs
+++ b/crates/lemoncleat-cli/src/circuits.rs
@@ -3,10 +3,10 @@
 use serde_json::{json, Value};
 
 use crate::args::{CircuitsArgs, CircuitsCommand, RangeArgs};
-use crate::control::ask;
+use crate::control::send_request;
 use crate::Failure;
 
-fn ordered(op: &str, range: &RangeArgs) -> Value {
+fn range_request(op: &str, range: &RangeArgs) -> Value {
     json!({
         "op": op, "server": range.server, "first": range.first, "count": range.count, "hardware": range.hardware,
     })
@@ -16,12 +16,12 @@
     let request = match &args.command {
         None | Some(CircuitsCommand::List) => json!({"op": "list"}),
         Some(CircuitsCommand::Show { server }) => json!({"op": "circuits", "server": server}),
-        Some(CircuitsCommand::Block(range)) => ordered("block", range),
-        Some(CircuitsCommand::Unblock(range)) => ordered("unblock", range),
-        Some(CircuitsCommand::Reset(range)) => ordered("reset", range),
+        Some(CircuitsCommand::Block(range)) => range_request("block", range),
+        Some(CircuitsCommand::Unblock(range)) => range_request("unblock", range),
+        Some(CircuitsCommand::Reset(range)) => range_request("reset", range),
         Some(CircuitsCommand::Audit { server }) => json!({"op": "audit", "server": server}),
     };
-    let answer = ask(args.control, &request)?;
+    let answer = send_request(args.control, &request)?;
     if args.json {
         println!("{answer}");
     }
@@ -30,12 +30,12 @@
         return Err(Failure::Failed(error.to_owned()));
     }
     if !args.json {
-        show(&answer);
+        print_answer(&answer);
     }
     Ok(())
 }
 
-fn show(answer: &Value) {
+fn print_answer(answer: &Value) {
     if let Some(groups) = answer["groups"].as_array() {
         println!(
             "{:<28} {:>7} {:>7} {:>8} {:>8} {:>9} {:>7} {:>7}",
--- a/crates/lemoncleat-cli/src/fleet.rs
+++ b/crates/lemoncleat-cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `lemoncleat rehearse agree`: real processes of a fleet among faults.
+//! `lemoncleat rehearse agree`: the agreement of a fleet of real processes under faults.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use crate::args::RehearseArgs;
 use crate::Failure;
 
-/// The name of the day.
+/// Name of the rehearsal on the command line.
 pub const AGREE: &str = "agree";
-/// How long faults come unless it is said.
-const LENGTH: Duration = Duration::from_secs(30);
-const SEED: u64 = 1;
+/// Default duration of the faults.
+const DEFAULT_LENGTH: Duration = Duration::from_secs(30);
+const DEFAULT_SEED: u64 = 1;
 
 pub fn agree(args: &RehearseArgs) -> Result<(), Failure> {
     let folder = std::env::temp_dir().join(format!("lemoncleat-agree-{}", std::process::id()));
-    let length = args.length.map_or(LENGTH, |length| Duration::from_micros(length.0.max(0) as u64));
+    let length = args.length.map_or(DEFAULT_LENGTH, |length| Duration::from_micros(length.0.max(0) as u64));
     let plan = AgreePlan {
         binary: std::env::current_exe().map_err(Failure::failed)?,
         nodes: args.nodes as usize,
-        seed: args.seed.unwrap_or(SEED),
+        seed: args.seed.unwrap_or(DEFAULT_SEED),
         length,
         folder,
     };
@@ -35,7 +35,7 @@
         let middle = verdict.recovered_ms[count / 2];
         println!("agreed again {count} times, after {middle} ms in the middle, {longest} ms at the longest");
     }
-    show(&verdict.checks);
+    print_checks(&verdict.checks);
     if let Some(file) = &args.json {
         let text = serde_json::to_string_pretty(&verdict).map_err(Failure::failed)?;
         std::fs::write(file, text)
@@ -44,12 +44,12 @@
     if verdict.kept() {
         Ok(())
     } else {
-        Err(Failure::Told)
+        Err(Failure::Reported)
     }
 }
 
-/// A line for each law: how often it was put to the test, and whether it held.
-fn show(checks: &[Check]) {
+/// Prints one line per invariant: whether it was kept and in how many cases it was checked.
+fn print_checks(checks: &[Check]) {
     for check in checks {
         let kept = if check.broken.is_empty() { "kept  " } else { "BROKEN" };
         println!("{kept} {:>7} cases  {}", check.cases, check.law);
--- a/crates/lemoncleat-cli/src/glare.rs
+++ b/crates/lemoncleat-cli/src/glare.rs
@@ -10,10 +10,10 @@
 use crate::args::GlareArgs;
 use crate::Failure;
 
-/// Offered load of both ends together, as a share of the circuits.
+/// Offered load of both ends together, as a fraction of the number of circuits.
 const LOADS: [f64; 7] = [0.2, 0.4, 0.6, 0.8, 0.9, 1.0, 1.2];
 
-struct Figure {
+struct GlareRates {
     yields: f64,
     lost: f64,
 }
@@ -33,7 +33,7 @@
     LOADS.iter().for_each(|load| print!("{load:>14.1}"));
     println!();
     let mut curves = Vec::new();
-    let mut sound = true;
+    let mut all_sound = true;
     for order in Order::ALL {
         print!("{:<12}", format!("{order:?}"));
         let mut curve = Vec::new();
@@ -49,36 +49,36 @@
                     seed,
                     ..GlareRun::default()
                 });
-                sound &= result.sound();
+                all_sound &= result.sound();
                 calls += result.calls;
                 yields += result.yields;
                 lost += result.lost_to_glare;
             }
-            let part = |count: u64| count as f64 * 1_000.0 / calls.max(1) as f64;
-            let figure = Figure { yields: part(yields), lost: part(lost) };
-            print!("{:>14}", format!("{:.1} ({:.2})", figure.yields, figure.lost));
-            curve.push((load, figure));
+            let per_thousand = |count: u64| count as f64 * 1_000.0 / calls.max(1) as f64;
+            let rates = GlareRates { yields: per_thousand(yields), lost: per_thousand(lost) };
+            print!("{:>14}", format!("{:.1} ({:.2})", rates.yields, rates.lost));
+            curve.push((load, rates));
         }
         println!();
         curves.push((order, curve));
     }
-    audits(args)?;
+    print_audits(args)?;
     if let Some(file) = &args.plot {
-        plot(file, &curves).map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
+        write_plot(file, &curves).map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
         println!("plot written to {}", file.display());
     }
-    if sound {
+    if all_sound {
         println!("no circuit lost or shared, every call answered once");
         Ok(())
     } else {
         println!("A CIRCUIT WAS LOST OR SHARED, OR A CALL MISCOUNTED");
-        Err(Failure::Told)
+        Err(Failure::Reported)
     }
 }
 
-/// How soon stuck circuits are found, against what audits cost.
-fn audits(args: &GlareArgs) -> Result<(), Failure> {
-    println!("an end forgets all and says nothing: time until both agree, and questions a minute:");
+/// Prints the time until audits find stuck circuits, and the number of audit questions that this takes.
+fn print_audits(args: &GlareArgs) -> Result<(), Failure> {
+    println!("one end loses its state without notice: time until both ends agree, and questions per minute:");
     for round in [1_000_000, 4_000_000, 10_000_000, 30_000_000] {
         let (mut time, mut questions) = (0.0, 0.0);
         for seed in 0..args.seeds {
@@ -107,7 +107,10 @@
     Ok(())
 }
 
-fn plot(file: &Path, curves: &[(Order, Vec<(f64, Figure)>)]) -> Result<(), Box<dyn std::error::Error>> {
+fn write_plot(
+    file: &Path,
+    curves: &[(Order, Vec<(f64, GlareRates)>)],
+) -> Result<(), Box<dyn std::error::Error>> {
     let most = curves.iter().flat_map(|(_, curve)| curve).map(|(_, f)| f.yields).fold(1.0, f64::max);
     let area = SVGBackend::new(file, (800, 500)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -123,7 +126,7 @@
         .draw()?;
     for (index, (order, curve)) in curves.iter().enumerate() {
         let colour = Palette99::pick(index).stroke_width(2);
-        let points: Vec<(f64, f64)> = curve.iter().map(|(load, figure)| (*load, figure.yields)).collect();
+        let points: Vec<(f64, f64)> = curve.iter().map(|(load, rates)| (*load, rates.yields)).collect();
         chart
             .draw_series(LineSeries::new(points, colour))?
             .label(format!("{order:?}"))
--- a/crates/lemoncleat-cli/src/hollow.rs
+++ b/crates/lemoncleat-cli/src/hollow.rs
@@ -1,6 +1,7 @@
-//! `lemoncleat hollow`: holds nodes of a rehearsal that get no calls, as it is told on standard input.
+//! `lemoncleat hollow`: runs nodes without calls for a scale rehearsal, controlled by orders on standard
+//! input.
 //!
-//! Each is a whole node on a thread of its own, as `lemoncleat node` runs one. What differs is told in
+//! Each is a complete node on its own thread, as run by `lemoncleat node`. The differences are described in
 //! docs/design/scale.md.
 
 use std::collections::HashMap;
@@ -25,31 +26,31 @@
 
 use crate::Failure;
 
-/// Tries to listen again where a node stopped a moment ago, and the pause between.
-const TRIES: u32 = 50;
-const AGAIN: Duration = Duration::from_millis(20);
-/// Bytes of a thread's name that the system keeps.
-const NAME: usize = 15;
+// Retries and pause for binding the address of a node that has just stopped.
+const BIND_RETRIES: u32 = 50;
+const BIND_RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Maximum length of a thread name on Linux, in bytes.
+const MAX_THREAD_NAME_LEN: usize = 15;
 
-/// A node's view, and whom it holds for alive: one bit a member.
+/// State of one node as read from its log: its view, and the members that it considers alive.
 #[derive(Default)]
-struct Seen {
+struct ObservedNode {
     view: NodeView,
-    /// Configurations put in force.
+    /// Numbers of the configurations put in force, with the time.
     configurations: Vec<(u64, i64)>,
     alive: Vec<u64>,
 }
 
-impl Seen {
-    fn set(&mut self, number: usize, name: &str, alive: bool) {
-        let (word, bit) = (number / 64, 1 << (number % 64));
-        if self.alive.len() <= word {
-            self.alive.resize(word + 1, 0);
+impl ObservedNode {
+    fn set_alive(&mut self, number: usize, name: &str, alive: bool) {
+        let (element, bit) = (number / 64, 1 << (number % 64));
+        if self.alive.len() <= element {
+            self.alive.resize(element + 1, 0);
         }
-        if (self.alive[word] & bit != 0) == alive {
+        if (self.alive[element] & bit != 0) == alive {
             return;
         }
-        self.alive[word] ^= bit;
+        self.alive[element] ^= bit;
         self.view.changed = now_us();
         if alive {
             self.view.alive += 1;
@@ -61,11 +62,11 @@
     }
 }
 
-/// What all nodes of the process have logged, as far as it is of use.
+/// Observations from the log of all nodes of this process.
 #[derive(Default)]
-struct Watch {
-    nodes: HashMap<String, Mutex<Seen>>,
-    /// Numbers of members, in the order in which they were first named.
+struct LogObserver {
+    nodes: HashMap<String, Mutex<ObservedNode>>,
+    /// Indices of members, in the order in which they first occur in the log.
     numbers: Mutex<HashMap<String, usize>>,
 }
 
@@ -73,16 +74,16 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Watch {
-    fn line(&self, line: &Line) {
-        let Some(seen) = self.nodes.get(&line.node) else { return };
-        if line.message == "configuration in force" {
-            let mut seen = lock(seen);
-            seen.view.configuration = line.number;
-            seen.configurations.push((line.number, now_us()));
+impl LogObserver {
+    fn observe(&self, event: &LogEvent) {
+        let Some(observed) = self.nodes.get(&event.node) else { return };
+        if event.message == "configuration in force" {
+            let mut observed = lock(observed);
+            observed.view.configuration = event.number;
+            observed.configurations.push((event.number, now_us()));
             return;
         }
-        let Some((name, rest)) = line.message.split_once(" is ") else { return };
+        let Some((name, rest)) = event.message.split_once(" is ") else { return };
         let alive = match rest.split([',', ' ']).next() {
             Some("there") => true,
             Some("suspected" | "gone") => false,
@@ -93,19 +94,19 @@
             let next = numbers.len();
             *numbers.entry(name.to_owned()).or_insert(next)
         };
-        lock(seen).set(number, name, alive);
+        lock(observed).set_alive(number, name, alive);
     }
 }
 
-/// What is read of a line of the log.
+/// Fields read from a log event.
 #[derive(Default)]
-struct Line {
+struct LogEvent {
     node: String,
     number: u64,
     message: String,
 }
 
-impl Visit for Line {
+impl Visit for LogEvent {
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "node" => value.clone_into(&mut self.node),
@@ -130,10 +131,10 @@
     }
 }
 
-/// Reads the log in place of writing it.
-struct Reader(Arc<Watch>);
+/// Subscriber that reads the log events instead of writing them.
+struct LogReader(Arc<LogObserver>);
 
-impl Subscriber for Reader {
+impl Subscriber for LogReader {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
         *metadata.level() <= Level::INFO
     }
@@ -147,9 +148,9 @@
     fn record_follows_from(&self, _: &Id, _: &Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        let mut line = Line::default();
-        event.record(&mut line);
-        self.0.line(&line);
+        let mut fields = LogEvent::default();
+        event.record(&mut fields);
+        self.0.observe(&fields);
     }
 
     fn enter(&self, _: &Id) {}
@@ -157,38 +158,38 @@
     fn exit(&self, _: &Id) {}
 }
 
-struct Held {
+struct NodeSlot {
     plan: HollowNode,
     running: Option<Running>,
     starts: u32,
     control: Option<Control>,
 }
 
-struct Hollow {
-    nodes: Vec<Held>,
+struct NodeHost {
+    nodes: Vec<NodeSlot>,
     tail: String,
-    watch: Arc<Watch>,
+    observer: Arc<LogObserver>,
 }
 
-fn told(error: impl fmt::Display) -> String {
+fn error_text(error: impl fmt::Display) -> String {
     error.to_string()
 }
 
 fn listen(node: &HollowNode) -> Result<TcpListener, String> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         match TcpListener::bind(node.address) {
             Ok(listener) => return Ok(listener),
-            Err(error) if tries == TRIES => return Err(format!("{}: {error}", node.address)),
-            Err(_) => std::thread::sleep(AGAIN),
+            Err(error) if retries == BIND_RETRIES => return Err(format!("{}: {error}", node.address)),
+            Err(_) => std::thread::sleep(BIND_RETRY_PAUSE),
         }
-        tries += 1;
+        retries += 1;
     }
 }
 
-fn ask_stats(held: &Held) -> Receiver<Stats> {
+fn ask_stats(slot: &NodeSlot) -> Receiver<Stats> {
     let (sender, answer) = channel();
-    if let Some(running) = &held.running {
+    if let Some(running) = &slot.running {
         running.control(NodeControl::Stats(sender));
     }
     answer
@@ -203,69 +204,70 @@
     }
 }
 
-fn ask(held: &mut Held, order: &Value) -> Result<Value, String> {
-    if held.control.is_none() {
-        let address = held.running.as_ref().and_then(|running| running.control_address);
-        held.control = Some(Control::connect(address.ok_or("it does not run")?).map_err(told)?);
+fn ask(slot: &mut NodeSlot, order: &Value) -> Result<Value, String> {
+    if slot.control.is_none() {
+        let address = slot.running.as_ref().and_then(|running| running.control_address);
+        slot.control = Some(Control::connect(address.ok_or("the node is not running")?).map_err(error_text)?);
     }
-    let control = held.control.as_mut().ok_or("no connection")?;
-    let answer = control.ask(order).map_err(told);
+    let control = slot.control.as_mut().ok_or("no connection")?;
+    let answer = control.ask(order).map_err(error_text);
     if answer.is_err() {
-        held.control = None;
+        slot.control = None;
     }
     answer
 }
 
-impl Hollow {
-    fn start(&mut self, at: usize) -> Result<(), String> {
-        let held = self.nodes.get_mut(at).ok_or("there is no such node")?;
-        let text = held.plan.head.clone() + &self.tail;
-        let settings = read_config(&text).map_err(|error| error.in_file(&held.plan.host))?.service;
-        if let Some(seen) = self.watch.nodes.get(&held.plan.host) {
-            *lock(seen) = Seen::default();
+impl NodeHost {
+    fn start(&mut self, index: usize) -> Result<(), String> {
+        let slot = self.nodes.get_mut(index).ok_or("no such node")?;
+        let text = slot.plan.head.clone() + &self.tail;
+        let settings = read_config(&text).map_err(|error| error.in_file(&slot.plan.host))?.service;
+        if let Some(observed) = self.observer.nodes.get(&slot.plan.host) {
+            *lock(observed) = ObservedNode::default();
         }
-        let listener = listen(&held.plan)?;
-        held.running = Some(spawn(settings, listener).map_err(told)?);
-        held.starts += 1;
+        let listener = listen(&slot.plan)?;
+        slot.running = Some(spawn(settings, listener).map_err(error_text)?);
+        slot.starts += 1;
         Ok(())
     }
 
-    fn stop(&mut self, at: usize) -> Result<(), String> {
-        let held = self.nodes.get_mut(at).ok_or("there is no such node")?;
-        held.control = None;
-        held.running.take().map_or(Ok(()), |running| running.stop().map(drop).map_err(told))
+    fn stop(&mut self, index: usize) -> Result<(), String> {
+        let slot = self.nodes.get_mut(index).ok_or("no such node")?;
+        slot.control = None;
+        slot.running.take().map_or(Ok(()), |running| running.stop().map(drop).map_err(error_text))
     }
 
     fn figures(&mut self) -> Result<Answer, String> {
         let process = std::process::id();
-        let threads = processor_of_threads(process).map_err(told)?;
-        let mut answer = Answer { memory_bytes: resident_bytes(process).map_err(told)?, ..Answer::default() };
-        let mut own: HashMap<&str, u64> = HashMap::new();
+        let threads = processor_of_threads(process).map_err(error_text)?;
+        let mut answer =
+            Answer { memory_bytes: resident_bytes(process).map_err(error_text)?, ..Answer::default() };
+        let mut node_processor_us: HashMap<&str, u64> = HashMap::new();
         for ThreadTime { id, name, processor_us } in &threads {
             if name.starts_with("node ") {
-                own.insert(name, *processor_us);
+                node_processor_us.insert(name, *processor_us);
             } else if *id != process {
-                // The first thread serves the rehearsal and not the nodes.
+                // The main thread serves the rehearsal, not the nodes.
                 answer.shared_us += processor_us;
             }
         }
-        // All are asked before the first is heard.
+        // All nodes are asked before the first answer is awaited.
         let asked: Vec<_> = self.nodes.iter().map(ask_stats).collect();
-        for (held, stats) in self.nodes.iter().zip(asked) {
-            let name = format!("node {}", held.plan.host);
-            let name = name.get(..NAME).unwrap_or(&name);
-            let processor_us = own.get(name).copied().unwrap_or(0);
+        for (slot, stats) in self.nodes.iter().zip(asked) {
+            let name = format!("node {}", slot.plan.host);
+            let name = name.get(..MAX_THREAD_NAME_LEN).unwrap_or(&name);
+            let processor_us = node_processor_us.get(name).copied().unwrap_or(0);
             let traffic = stats.recv().ok().map(traffic);
-            answer.figures.push(NodeFigures { start: held.starts, processor_us, traffic });
+            answer.figures.push(NodeFigures { start: slot.starts, processor_us, traffic });
         }
         Ok(answer)
     }
 
-    fn carry_out(&mut self, order: Order) -> Result<Answer, String> {
+    fn execute(&mut self, order: Order) -> Result<Answer, String> {
         match order {
             Order::Start => {
-                for at in 0..self.nodes.len() {
-                    self.start(at)?;
+                for index in 0..self.nodes.len() {
+                    self.start(index)?;
                 }
             }
             Order::Restart { node } => {
@@ -273,50 +275,54 @@
                 self.start(node)?;
             }
             Order::Views => {
-                let view = |held: &Held| {
-                    self.watch.nodes.get(&held.plan.host).map_or(NodeView::default(), |seen| lock(seen).view)
+                let view = |slot: &NodeSlot| {
+                    self.observer
+                        .nodes
+                        .get(&slot.plan.host)
+                        .map_or(NodeView::default(), |observed| lock(observed).view)
                 };
                 return Ok(Answer { views: self.nodes.iter().map(view).collect(), ..Answer::default() });
             }
             Order::Figures => return self.figures(),
             Order::Configurations => {
-                let all = |held: &Held| {
-                    let seen = self.watch.nodes.get(&held.plan.host);
-                    seen.map_or(Vec::new(), |seen| lock(seen).configurations.clone())
+                let all = |slot: &NodeSlot| {
+                    let observed = self.observer.nodes.get(&slot.plan.host);
+                    observed.map_or(Vec::new(), |observed| lock(observed).configurations.clone())
                 };
                 let configurations = self.nodes.iter().map(all).collect();
                 return Ok(Answer { configurations, ..Answer::default() });
             }
             Order::Ask { node, order } => {
-                let held = self.nodes.get_mut(node).ok_or("there is no such node")?;
-                return Ok(Answer { told: ask(held, &order)?, ..Answer::default() });
+                let slot = self.nodes.get_mut(node).ok_or("no such node")?;
+                return Ok(Answer { told: ask(slot, &order)?, ..Answer::default() });
             }
         }
         Ok(Answer::default())
     }
 }
 
-fn say(answer: Result<Answer, String>) -> Result<(), Failure> {
+fn write_answer(answer: Result<Answer, String>) -> Result<(), Failure> {
     let answer = answer.unwrap_or_else(|error| Answer { error: Some(error), ..Answer::default() });
     let text = serde_json::to_string(&answer).map_err(Failure::failed)?;
     let mut out = io::stdout().lock();
     writeln!(out, "{text}").and_then(|()| out.flush()).map_err(Failure::failed)
 }
 
-/// Serves until standard input closes, which ends all nodes there and then.
+/// Executes orders until standard input closes, which ends all nodes with the process.
 pub fn run() -> Result<(), Failure> {
     let mut lines = io::stdin().lock().lines();
     let Some(first) = lines.next() else { return Ok(()) };
     let plan: HollowPlan = serde_json::from_str(&first.map_err(Failure::failed)?).map_err(Failure::failed)?;
     let nodes = plan.nodes.iter().map(|node| (node.host.clone(), Mutex::default())).collect();
-    let watch = Arc::new(Watch { nodes, ..Watch::default() });
-    tracing::subscriber::set_global_default(Reader(watch.clone())).map_err(Failure::failed)?;
-    let held = |plan| Held { plan, running: None, starts: 0, control: None };
-    let mut hollow = Hollow { nodes: plan.nodes.into_iter().map(held).collect(), tail: plan.tail, watch };
-    say(Ok(Answer::default()))?;
+    let observer = Arc::new(LogObserver { nodes, ..LogObserver::default() });
+    tracing::subscriber::set_global_default(LogReader(observer.clone())).map_err(Failure::failed)?;
+    let slot = |plan| NodeSlot { plan, running: None, starts: 0, control: None };
+    let mut hollow =
+        NodeHost { nodes: plan.nodes.into_iter().map(slot).collect(), tail: plan.tail, observer };
+    write_answer(Ok(Answer::default()))?;
     for line in lines {
-        let order = serde_json::from_str(&line.map_err(Failure::failed)?).map_err(told);
-        say(order.and_then(|order| hollow.carry_out(order)))?;
+        let order = serde_json::from_str(&line.map_err(Failure::failed)?).map_err(error_text);
+        write_answer(order.and_then(|order| hollow.execute(order)))?;
     }
     Ok(())
 }
@@ -326,23 +332,23 @@
     use super::*;
 
     #[test]
-    fn a_view_is_the_members_that_the_log_told_last() {
+    fn view_follows_latest_log_events() {
         let nodes = [("h1".to_owned(), Mutex::default())].into_iter().collect();
-        let watch = Watch { nodes, ..Watch::default() };
-        let say = |message: &str| {
-            watch.line(&Line { node: "h1".to_owned(), number: 7, message: message.to_owned() });
+        let observer = LogObserver { nodes, ..LogObserver::default() };
+        let log = |message: &str| {
+            observer.observe(&LogEvent { node: "h1".to_owned(), number: 7, message: message.to_owned() });
         };
-        say("v0 is there, 2 of 9 are");
-        say("node-1.lab is there, 3 of 9 are");
-        say("v0 is there, 3 of 9 are");
-        let view = || lock(&watch.nodes["h1"]).view;
+        log("v0 is there, 2 of 9 are");
+        log("node-1.lab is there, 3 of 9 are");
+        log("v0 is there, 3 of 9 are");
+        let view = || lock(&observer.nodes["h1"]).view;
         assert_eq!((view().alive, view().marks), (2, mark_of("v0").wrapping_add(mark_of("node-1.lab"))));
-        say("v0 is suspected");
-        say("v0 is gone, 2 of 9 are there");
-        say("the agreement is led by v1");
+        log("v0 is suspected");
+        log("v0 is gone, 2 of 9 are there");
+        log("the agreement is led by v1");
         assert_eq!((view().alive, view().marks), (1, mark_of("node-1.lab")));
         assert_eq!(view().configuration, 0);
-        say("configuration in force");
+        log("configuration in force");
         assert_eq!(view().configuration, 7);
     }
 }
--- a/crates/lemoncleat-cli/src/lab.rs
+++ b/crates/lemoncleat-cli/src/lab.rs
@@ -13,8 +13,8 @@
 use crate::args::{LoadArgs, UpArgs};
 use crate::Failure;
 
-/// A calm day with so many servers of a capacity, and one node.
-pub fn plain_day(servers: u16, capacity: Rate) -> Result<Day, Failure> {
+/// Returns a calm day with one node and the given number of servers of the given capacity.
+pub fn calm_day(servers: u16, capacity: Rate) -> Result<Day, Failure> {
     let mut day = builtin("calm").ok_or_else(|| Failure::Failed("the built-in day is missing".to_owned()))?;
     day.nodes = 1;
     day.servers = vec![ServerDay { capacity, lines: 1_000_000, zone: String::new() }; usize::from(servers)];
@@ -26,7 +26,7 @@
     if let Some(level) = &args.log {
         init_log(LogTo::Error, LogFormat::Text, level).map_err(Failure::Usage)?;
     }
-    let mut day = plain_day(args.servers, args.capacity)?;
+    let mut day = calm_day(args.servers, args.capacity)?;
     day.circuits = args.circuits.map(|size| CircuitDay {
         size,
         far_size: None,
--- a/crates/lemoncleat-cli/src/lib.rs
+++ b/crates/lemoncleat-cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the `lemoncleat` command does, for it and for the tests of the whole path.
+//! Functions of the `lemoncleat` command that are shared with its end-to-end tests.
 
 mod starter;
 
--- a/crates/lemoncleat-cli/src/main.rs
+++ b/crates/lemoncleat-cli/src/main.rs
@@ -24,13 +24,13 @@
 
 use args::{Args, Command};
 
-/// Why a command did not do what it was asked to.
+/// Reason for a non-zero exit code.
 enum Failure {
-    /// It was done and shows a broken rule or a failure: exit code 1. What there is to say is said.
-    Told,
-    /// It could not be done: exit code 1.
+    /// The command finished and reported a broken rule or a failure on its output: exit code 1.
+    Reported,
+    /// The command failed with this message: exit code 1.
     Failed(String),
-    /// It was asked for in a way that makes no sense: exit code 2.
+    /// The arguments or settings are unusable, with this message: exit code 2.
     Usage(String),
 }
 
@@ -43,10 +43,10 @@
 fn main() -> ExitCode {
     #[cfg(feature = "faults")]
     if let Err(error) = lemoncleat_faults::attend() {
-        eprintln!("lemoncleat: no stage: {error}");
+        eprintln!("lemoncleat: cannot connect to the stage: {error}");
         return ExitCode::from(1);
     }
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Node(args) => node::run(&args),
         Command::Access => access::run(),
         Command::Check(args) => node::check(&args),
@@ -64,9 +64,9 @@
             args::LabCommand::Measure(args) => measure::run(&args),
         },
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure::Told) => ExitCode::from(1),
+        Err(Failure::Reported) => ExitCode::from(1),
         Err(Failure::Failed(why)) => {
             eprintln!("lemoncleat: {why}");
             ExitCode::from(1)
--- a/crates/lemoncleat-cli/src/measure.rs
+++ b/crates/lemoncleat-cli/src/measure.rs
@@ -1,4 +1,4 @@
-//! `lemoncleat lab measure`: a node against a bare relay on the same drivers, in one run.
+//! `lemoncleat lab measure`: measures a node and a plain relay on the same drivers, in one run.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,11 +13,12 @@
 use crate::args::MeasureArgs;
 use crate::Failure;
 
-/// Connections of the load tool.
+/// Number of connections of the load generator.
 const CLIENTS: usize = 4;
-/// Calls under way at once when calls a second are counted.
+/// Number of concurrent calls while calls per second are counted.
 const WINDOW: usize = 64;
-/// Runs of each, the best of which counts: the machine's other work only ever takes away.
+/// Number of runs of each measurement. The best counts, because other load on the machine only lowers the
+/// result.
 const RUNS: usize = 3;
 
 fn settings(args: &MeasureArgs, address: SocketAddr, host: &str) -> LoadSettings {
@@ -57,20 +58,20 @@
     )
 }
 
-/// What a node with TLS is measured with.
-struct Secured {
+/// Servers, clients and credentials for measuring a node with TLS.
+struct TlsSetup {
     servers: Vec<Echo>,
     clients: Vec<Arc<ClientConfig>>,
-    /// The node's form.
-    form: String,
-    /// Its files are there as long as this lives.
+    /// The `tls` form of the node's settings.
+    tls_settings: String,
+    /// Deletes the credential files when dropped.
     _credentials: Credentials,
 }
 
-impl Secured {
-    fn new() -> Result<Secured, Failure> {
+impl TlsSetup {
+    fn new() -> Result<TlsSetup, Failure> {
         let credentials = Credentials::new(&CertificateDay::default(), 1).map_err(Failure::Failed)?;
-        let make = || -> Result<_, String> {
+        let create = || -> Result<_, String> {
             let servers: Result<Vec<Echo>, String> = (0..2)
                 .map(|number| {
                     let host = format!("server-{number}.lab");
@@ -85,8 +86,8 @@
                 .collect();
             Ok((servers?, clients?, credentials.node_with_files("node-0.lab")?))
         };
-        let (servers, clients, form) = make().map_err(Failure::Failed)?;
-        Ok(Secured { servers, clients, form, _credentials: credentials })
+        let (servers, clients, tls_settings) = create().map_err(Failure::Failed)?;
+        Ok(TlsSetup { servers, clients, tls_settings, _credentials: credentials })
     }
 }
 
@@ -94,23 +95,27 @@
     let servers: Result<Vec<Echo>, _> =
         (0..2).map(|number| Echo::spawn(&format!("server-{number}.lab"), None)).collect();
     let servers = servers.map_err(Failure::failed)?;
-    let secured = Secured::new()?;
+    let tls_setup = TlsSetup::new()?;
     let addresses = servers.iter().map(|echo| (echo.host.clone(), echo.address)).collect();
     let relay = spawn_relay("relay.lab", addresses).map_err(Failure::failed)?;
     let node = start_node(&node_text(&servers, false, "(plain yes)")).map_err(Failure::Failed)?;
-    let trunked = start_node(&node_text(&servers, true, "(plain yes)")).map_err(Failure::Failed)?;
+    let node_with_circuits =
+        start_node(&node_text(&servers, true, "(plain yes)")).map_err(Failure::Failed)?;
     let to_node = settings(args, node.address(), "node-0.lab");
-    let to_trunked = settings(args, trunked.address(), "node-0.lab");
-    let over_tls = start_node(&node_text(&secured.servers, false, &secured.form)).map_err(Failure::Failed)?;
-    let to_tls =
-        LoadSettings { tls: secured.clients.clone(), ..settings(args, over_tls.address(), "node-0.lab") };
+    let to_trunked = settings(args, node_with_circuits.address(), "node-0.lab");
+    let node_with_tls = start_node(&node_text(&tls_setup.servers, false, &tls_setup.tls_settings))
+        .map_err(Failure::Failed)?;
+    let to_tls = LoadSettings {
+        tls: tls_setup.clients.clone(),
+        ..settings(args, node_with_tls.address(), "node-0.lab")
+    };
     let to_relay = settings(args, relay.address, "relay.lab");
     let mut best = [(0.0f64, 0.0f64); 4];
     for _ in 0..RUNS {
         for (index, to) in [&to_node, &to_trunked, &to_relay, &to_tls].into_iter().enumerate() {
-            let got = saturate(to, WINDOW).map_err(Failure::Failed)?;
-            if got.0 > best[index].0 {
-                best[index] = got;
+            let result = saturate(to, WINDOW).map_err(Failure::Failed)?;
+            if result.0 > best[index].0 {
+                best[index] = result;
             }
         }
     }
@@ -157,9 +162,9 @@
         );
     }
     Box::new(node).stop();
-    Box::new(trunked).stop();
-    Box::new(over_tls).stop();
-    secured.servers.into_iter().for_each(Echo::stop);
+    Box::new(node_with_circuits).stop();
+    Box::new(node_with_tls).stop();
+    tls_setup.servers.into_iter().for_each(Echo::stop);
     relay.stop();
     servers.into_iter().for_each(Echo::stop);
     Ok(())
--- a/crates/lemoncleat-cli/src/node.rs
+++ b/crates/lemoncleat-cli/src/node.rs
@@ -11,26 +11,26 @@
 use crate::args::{CheckArgs, NodeArgs};
 use crate::{signals, Failure};
 
-fn text_of(file: &Path) -> Result<(String, String), Failure> {
+fn read_text(file: &Path) -> Result<(String, String), Failure> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| Failure::Usage(format!("{name}: {error}")))?;
     Ok((name, text))
 }
 
-pub fn read(file: &Path) -> Result<Config, Failure> {
-    let (name, text) = text_of(file)?;
+pub fn read_settings(file: &Path) -> Result<Config, Failure> {
+    let (name, text) = read_text(file)?;
     read_config(&text).map_err(|error| Failure::Usage(error.in_file(&name)))
 }
 
 pub fn check(args: &CheckArgs) -> Result<(), Failure> {
-    let (mut name, own) = text_of(&args.file)?;
+    let (mut name, own) = read_text(&args.file)?;
     let mut config = read_config(&own).map_err(|error| Failure::Usage(error.in_file(&name)))?;
     if let Some(file) = &args.shared {
-        let (shared, text) = text_of(file)?;
-        let with = read_config_with(&own, &text).map_err(|error| Failure::Usage(error.in_file(&shared)))?;
-        fits_in_place(&config.service, &with.service)
+        let (shared, text) = read_text(file)?;
+        let merged = read_config_with(&own, &text).map_err(|error| Failure::Usage(error.in_file(&shared)))?;
+        fits_in_place(&config.service, &merged.service)
             .map_err(|why| Failure::Usage(format!("{shared}: {why}")))?;
-        (name, config) = (shared, with);
+        (name, config) = (shared, merged);
     }
     let node = &config.service.node;
     println!(
@@ -50,17 +50,17 @@
 }
 
 pub fn run(args: &NodeArgs) -> Result<(), Failure> {
-    let config = read(&args.config)?;
+    let config = read_settings(&args.config)?;
     let format = if args.log_json { LogFormat::Json } else { config.log.format };
     init_log(LogTo::Error, format, &config.log.filter).map_err(Failure::Usage)?;
-    // Heeded from before anybody is told that the node is there.
-    let heeded = signals::heed()?;
+    // Signals are handled before the listening address is printed.
+    let signal_stream = signals::register()?;
     let mut listeners = Vec::new();
     for address in &config.listen {
         let listener =
             TcpListener::bind(address).map_err(|error| Failure::Failed(format!("{address}: {error}")))?;
         let bound = listener.local_addr().map_err(Failure::failed)?;
-        // The one line on standard output, for whoever started the node with port 0.
+        // Printed on standard output for callers that start the node with port 0.
         println!("listening on {bound}");
         listeners.push(listener);
     }
@@ -71,7 +71,7 @@
         if let Some(challenge) = started.challenge {
             println!("challenges on {challenge}");
         }
-        signals::pass_on(heeded, started.mailbox, |signal| match signal {
+        signals::forward(signal_stream, started.mailbox, |signal| match signal {
             Signal::Hup => Control::ReloadTls,
             _ => Control::Stop,
         });
--- a/crates/lemoncleat-cli/src/rehearse.rs
+++ b/crates/lemoncleat-cli/src/rehearse.rs
@@ -14,21 +14,21 @@
 use crate::args::{JudgeArgs, RehearseArgs};
 use crate::Failure;
 
-/// Most nodes that `agree` plays with.
-const MOST_AGREE: u32 = 64;
+/// Maximum number of nodes of `agree`.
+const MAX_AGREE_NODES: u32 = 64;
 
-fn text_of(file: &Path) -> Result<String, Failure> {
+fn read_text(file: &Path) -> Result<String, Failure> {
     std::fs::read_to_string(file).map_err(|error| Failure::Usage(format!("{}: {error}", file.display())))
 }
 
-fn the_day(args: &RehearseArgs) -> Result<Day, Failure> {
+fn selected_day(args: &RehearseArgs) -> Result<Day, Failure> {
     if let Some(file) = &args.bench_day {
-        let taken = bench_day(&text_of(file)?, args.speed, args.size)
+        let converted = bench_day(&read_text(file)?, args.speed, args.size)
             .map_err(|error| Failure::Usage(format!("{}: {error}", file.display())))?;
-        for note in taken.notes {
+        for note in converted.notes {
             println!("note: {note}");
         }
-        return Ok(taken.day);
+        return Ok(converted.day);
     }
     if let Some(day) = builtin(&args.day) {
         return Ok(day);
@@ -39,20 +39,20 @@
         let why = format!("{:?} is neither a file nor a built-in day ({})", args.day, known.join(", "));
         return Err(Failure::Usage(why));
     }
-    Day::read(&text_of(file)?).map_err(|error| Failure::Usage(error.in_file(&args.day)))
+    Day::read(&read_text(file)?).map_err(|error| Failure::Usage(error.in_file(&args.day)))
 }
 
 pub fn run(args: &RehearseArgs) -> Result<(), Failure> {
     if args.bench_day.is_none() && args.day == crate::fleet::AGREE {
-        if args.nodes > MOST_AGREE {
-            return Err(Failure::Usage(format!("--nodes: {} is not in 3..={MOST_AGREE}", args.nodes)));
+        if args.nodes > MAX_AGREE_NODES {
+            return Err(Failure::Usage(format!("--nodes: {} is not in 3..={MAX_AGREE_NODES}", args.nodes)));
         }
         return crate::fleet::agree(args);
     }
     if args.bench_day.is_none() && args.day == crate::scale::SCALE {
         return crate::scale::scale(args);
     }
-    let mut day = the_day(args)?;
+    let mut day = selected_day(args)?;
     if let Some(seed) = args.seed {
         day.seed = seed;
     }
@@ -78,33 +78,36 @@
     );
     bar.enable_steady_tick(Duration::from_secs(1));
     let start = |text: &str| start_node(text).map(|node| Box::new(node) as Box<dyn NodeControl>);
-    let done = rehearse(&day, &start, &mut |part| bar.set_position((part * 100.0) as u64));
+    let outcome = rehearse(&day, &start, &mut |part| bar.set_position((part * 100.0) as u64));
     bar.finish_and_clear();
-    let done = done.map_err(Failure::failed)?;
+    let outcome = outcome.map_err(Failure::failed)?;
     if let Some(file) = &args.capture {
-        done.capture.write(file).map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
+        outcome
+            .capture
+            .write(file)
+            .map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
     }
     let verdict =
-        judge(&done.capture).ok_or_else(|| Failure::Failed("the capture has no facts".to_owned()))?;
-    show(&verdict, args.json.as_deref())?;
+        judge(&outcome.capture).ok_or_else(|| Failure::Failed("the capture has no facts".to_owned()))?;
+    print_verdict(&verdict, args.json.as_deref())?;
     println!(
         "took {:.1} s; {} calls left standing at servers at the end",
-        done.took as f64 / 1e6,
-        done.left_standing
+        outcome.took as f64 / 1e6,
+        outcome.left_standing
     );
     if day.circuits.is_some() {
         println!(
             "{} calls of servers stood; {} circuits left in use after the last call",
-            done.far_stood, done.circuits_in_use
+            outcome.far_stood, outcome.circuits_in_use
         );
     }
-    let mut sound = verdict.kept() && done.circuits_in_use == 0;
-    if let Some((issued, complaints)) = &done.certificates {
+    let mut all_kept = verdict.kept() && outcome.circuits_in_use == 0;
+    if let Some((issued, complaints)) = &outcome.certificates {
         println!("{issued} certificates issued to nodes; {} complaints of the authority", complaints.len());
         for complaint in complaints {
             println!("  {complaint}");
         }
-        sound &= complaints.is_empty();
+        all_kept &= complaints.is_empty();
     }
     if day.harmless {
         let refused = verdict.handshakes.map_or(0, |told| told.refused);
@@ -112,16 +115,16 @@
             "a day without a reason for it: {} calls cut, {} turned away, {refused} handshakes refused",
             verdict.cut, verdict.turned_away
         );
-        sound &= verdict.cut + verdict.turned_away + refused == 0;
+        all_kept &= verdict.cut + verdict.turned_away + refused == 0;
     }
-    if sound {
+    if all_kept {
         Ok(())
     } else {
-        Err(Failure::Told)
+        Err(Failure::Reported)
     }
 }
 
-fn show(verdict: &Verdict, json: Option<&Path>) -> Result<(), Failure> {
+fn print_verdict(verdict: &Verdict, json: Option<&Path>) -> Result<(), Failure> {
     print!("{}", table(verdict, TableOptions::default()));
     if let Some(file) = json {
         let text = serde_json::to_string_pretty(verdict).map_err(Failure::failed)?;
@@ -134,12 +137,12 @@
 pub fn judge_file(args: &JudgeArgs) -> Result<(), Failure> {
     let name = args.file.display();
     let capture = Capture::read(&args.file).map_err(|error| Failure::Usage(format!("{name}: {error}")))?;
-    let verdict =
-        judge(&capture).ok_or_else(|| Failure::Usage(format!("{name}: it begins without its facts")))?;
-    show(&verdict, args.json.as_deref())?;
+    let verdict = judge(&capture)
+        .ok_or_else(|| Failure::Usage(format!("{name}: the capture does not begin with its facts")))?;
+    print_verdict(&verdict, args.json.as_deref())?;
     if verdict.kept() {
         Ok(())
     } else {
-        Err(Failure::Told)
+        Err(Failure::Reported)
     }
 }
--- a/crates/lemoncleat-cli/src/renewals.rs
+++ b/crates/lemoncleat-cli/src/renewals.rs
@@ -1,4 +1,4 @@
-//! `lemoncleat lab renewals`: when a fleet's nodes come to the authority.
+//! `lemoncleat lab renewals`: simulates when the nodes of a fleet request certificates from the authority.
 
 use std::path::Path;
 
@@ -8,20 +8,32 @@
 use crate::args::RenewalsArgs;
 use crate::Failure;
 
-const DAY: i64 = 86_400;
+const DAY_SECONDS: i64 = 86_400;
 
 pub fn run(args: &RenewalsArgs) -> Result<(), Failure> {
     if args.nodes == 0 || args.nodes > 100_000 {
         return Err(Failure::Usage("expected 1 to 100000 nodes".to_owned()));
     }
-    let plain =
-        FleetRun { nodes: args.nodes, lifetime: 90 * DAY, away: (0, 0), length: 86 * DAY, seed: args.seed };
+    let always_available = FleetRun {
+        nodes: args.nodes,
+        lifetime: 90 * DAY_SECONDS,
+        away: (0, 0),
+        length: 86 * DAY_SECONDS,
+        seed: args.seed,
+    };
     let cases = [
-        ("always there", plain),
-        ("away from day 55 to 75", FleetRun { away: (55 * DAY, 75 * DAY), ..plain }),
+        ("always there", always_available),
+        (
+            "away from day 55 to 75",
+            FleetRun { away: (55 * DAY_SECONDS, 75 * DAY_SECONDS), ..always_available },
+        ),
         (
             "away from day 55 to 89.9",
-            FleetRun { away: (55 * DAY, 89 * DAY + 78_000), length: 92 * DAY, ..plain },
+            FleetRun {
+                away: (55 * DAY_SECONDS, 89 * DAY_SECONDS + 78_000),
+                length: 92 * DAY_SECONDS,
+                ..always_available
+            },
         ),
     ];
     let plans = [
@@ -51,13 +63,13 @@
         "tries/h, /min: most in one hour, one minute; bare: nodes that were without a valid certificate"
     );
     if let Some(file) = &args.plot {
-        plot(file, &curves).map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
+        write_plot(file, &curves).map_err(|error| Failure::Failed(format!("{}: {error}", file.display())))?;
         println!("plot written to {}", file.display());
     }
     Ok(())
 }
 
-fn plot(file: &Path, curves: &[(&str, Vec<u32>)]) -> Result<(), Box<dyn std::error::Error>> {
+fn write_plot(file: &Path, curves: &[(&str, Vec<u32>)]) -> Result<(), Box<dyn std::error::Error>> {
     let most = curves.iter().flat_map(|(_, hours)| hours).copied().max().unwrap_or(1).max(1);
     let area = SVGBackend::new(file, (800, 500)).into_drawing_area();
     area.fill(&WHITE)?;
--- a/crates/lemoncleat-cli/src/signals.rs
+++ b/crates/lemoncleat-cli/src/signals.rs
@@ -1,4 +1,4 @@
-//! Signals into a running loop.
+//! Forwards signals to a running event loop.
 
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
@@ -6,17 +6,18 @@
 
 use crate::Failure;
 
-/// Signals that are heeded from this moment on.
-pub fn heed() -> Result<Signals, Failure> {
+/// Registers handlers for SIGTERM, SIGINT and SIGHUP and returns the stream of received signals.
+pub fn register() -> Result<Signals, Failure> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(Failure::failed)
 }
 
-/// Passes signals on until the loop has ended, as what `message` makes of them.
-pub fn pass_on<M: Send + 'static>(mut signals: Signals, mailbox: Mailbox<M>, message: fn(Signal) -> M) {
+/// Forwards each signal to the mailbox as the message that `message` maps it to, until the event loop has
+/// ended.
+pub fn forward<M: Send + 'static>(mut signals: Signals, mailbox: Mailbox<M>, message: fn(Signal) -> M) {
     std::thread::spawn(move || {
         futures_lite::future::block_on(async {
             while let Some(signal) = signals.next().await {
-                // One that can't be read is taken as a wish to end.
+                // A signal that cannot be read is treated as SIGTERM.
                 if mailbox.send(message(signal.unwrap_or(Signal::Term))).await.is_err() {
                     return;
                 }
--- a/crates/lemoncleat-cli/src/simulate.rs
+++ b/crates/lemoncleat-cli/src/simulate.rs
@@ -13,26 +13,26 @@
 use crate::args::{SimulateArgs, SimulateCommand};
 use crate::Failure;
 
-/// Most runs that shrinking takes.
-const SHRINK: u32 = 400;
-/// Findings that are listed.
-const LISTED: usize = 20;
-/// Lines before a finding that are shown of a fleet's run.
-const BEFORE: usize = 60;
+/// Maximum number of runs while shrinking.
+const MAX_SHRINK_RUNS: u32 = 400;
+/// Maximum number of findings listed.
+const MAX_LISTED_FINDINGS: usize = 20;
+/// Number of trace lines printed before a finding in a fleet.
+const TRACE_LINES: usize = 60;
 
 pub fn run(args: &SimulateArgs) -> Result<(), Failure> {
     if let Some(SimulateCommand::Chain(args)) = &args.command {
         return crate::chain::run(args);
     }
     match args.seed {
-        Some(seed) if args.fleet => one_fleet(seed, args),
-        None if args.fleet => many_fleets(args),
-        Some(seed) => one(seed, args),
-        None => many(args),
+        Some(seed) if args.fleet => run_fleet_seed(seed, args),
+        None if args.fleet => run_fleet_seeds(args),
+        Some(seed) => run_seed(seed, args),
+        None => run_seeds(args),
     }
 }
 
-fn describe(scenario: &Scenario) {
+fn print_scenario(scenario: &Scenario) {
     let day = &scenario.day;
     println!(
         "seed {}: {} nodes, {} servers, {:.0} calls/s for {}, links {} to {} us, circuits {}",
@@ -61,7 +61,7 @@
     }
 }
 
-fn finding(outcome: &Outcome) {
+fn print_finding(outcome: &Outcome) {
     let Some((step, finding)) = &outcome.finding else { return };
     match finding {
         Finding::Broken(rule, violation) => {
@@ -71,40 +71,40 @@
         }
         Finding::Left(what) | Finding::Stuck(what) => println!("FOUND at step {step}: {what}"),
     }
-    println!("what came last:");
+    println!("last records:");
     outcome.tail.iter().for_each(|line| println!("    {line}"));
 }
 
-fn one(seed: u64, args: &SimulateArgs) -> Result<(), Failure> {
+fn run_seed(seed: u64, args: &SimulateArgs) -> Result<(), Failure> {
     let scenario = Scenario::draw(seed);
-    describe(&scenario);
-    let mut told = |record: &Record| println!("{}", record.text());
+    print_scenario(&scenario);
+    let mut trace = |record: &Record| println!("{}", record.text());
     let outcome =
-        simulate(&scenario, if args.trace { Some(&mut told) } else { None }).map_err(Failure::Failed)?;
+        simulate(&scenario, if args.trace { Some(&mut trace) } else { None }).map_err(Failure::Failed)?;
     println!(
         "{} steps, {:.1} s of virtual time, digest {:016x}",
         outcome.steps,
         outcome.time as f64 / 1e6,
         outcome.digest
     );
-    finding(&outcome);
+    print_finding(&outcome);
     if outcome.finding.is_none() {
         return Ok(());
     }
     if args.shrink {
-        let (smaller, runs) = shrink(&scenario, SHRINK);
-        println!("after {runs} runs the smallest that shows the same:");
-        describe(&smaller);
-        finding(&simulate(&smaller, None).map_err(Failure::Failed)?);
+        let (smallest, runs) = shrink(&scenario, MAX_SHRINK_RUNS);
+        println!("smallest scenario with the same finding, after {runs} runs:");
+        print_scenario(&smallest);
+        print_finding(&simulate(&smallest, None).map_err(Failure::Failed)?);
     }
-    Err(Failure::Told)
+    Err(Failure::Reported)
 }
 
-/// Plays the seeds on some threads; `take` gets each outcome as it comes.
-fn seeds<T: Send>(
+/// Runs the seeds on several threads and passes each outcome to `collect` as it arrives.
+fn for_each_seed<T: Send>(
     args: &SimulateArgs,
     play: impl Fn(u64) -> T + Sync,
-    mut take: impl FnMut(u64, T) -> Result<(), Failure>,
+    mut collect: impl FnMut(u64, T) -> Result<(), Failure>,
 ) -> Result<(), Failure> {
     let (first, end) = args.seeds;
     let jobs = args.jobs.or_else(|| std::thread::available_parallelism().ok().map(usize::from)).unwrap_or(1);
@@ -120,8 +120,8 @@
             let (sender, next, play) = (sender.clone(), &next, &play);
             scope.spawn(move || loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
-                let late = start.elapsed().as_secs_f64() > args.minutes * 60.0;
-                if seed >= end || late {
+                let out_of_time = start.elapsed().as_secs_f64() > args.minutes * 60.0;
+                if seed >= end || out_of_time {
                     return;
                 }
                 if sender.send((seed, play(seed))).is_err() {
@@ -132,7 +132,7 @@
         drop(sender);
         for (seed, outcome) in outcomes {
             bar.inc(1);
-            take(seed, outcome)?;
+            collect(seed, outcome)?;
         }
         Ok(())
     })?;
@@ -140,13 +140,13 @@
     Ok(())
 }
 
-fn many(args: &SimulateArgs) -> Result<(), Failure> {
+fn run_seeds(args: &SimulateArgs) -> Result<(), Failure> {
     let start = Instant::now();
     let (mut played, mut steps, mut time, mut calls) = (0_u64, 0_u64, 0.0, 0_usize);
-    let mut cases = [0_usize; 5];
-    let mut found = BTreeMap::new();
+    let mut rule_cases = [0_usize; 5];
+    let mut findings = BTreeMap::new();
     let play = |seed| simulate(&Scenario::draw(seed), None);
-    seeds(args, play, |seed, outcome| {
+    for_each_seed(args, play, |seed, outcome| {
         let outcome = outcome.map_err(|why| Failure::Failed(format!("seed {seed}: {why}")))?;
         played += 1;
         steps += outcome.steps;
@@ -154,11 +154,11 @@
         if let Some(verdict) = &outcome.verdict {
             calls += verdict.tries;
             for rule in Rule::ALL {
-                cases[rule as usize] += verdict.rules[rule as usize].cases;
+                rule_cases[rule as usize] += verdict.rules[rule as usize].cases;
             }
         }
         if let Some((step, finding)) = outcome.finding {
-            found.insert(seed, (step, finding));
+            findings.insert(seed, (step, finding));
         }
         Ok(())
     })?;
@@ -169,26 +169,26 @@
         played as f64 * 60.0 / took,
         time / took
     );
-    println!("cases of rules 1 to 5: {cases:?}");
-    for (seed, (step, finding)) in found.iter().take(LISTED) {
+    println!("cases of rules 1 to 5: {rule_cases:?}");
+    for (seed, (step, finding)) in findings.iter().take(MAX_LISTED_FINDINGS) {
         let what = match finding {
             Finding::Broken(_, violation) => format!("{}: {}", violation.what, violation.how),
             Finding::Left(what) | Finding::Stuck(what) => what.clone(),
         };
         println!("seed {seed}, step {step}: {}: {what}", finding.kind());
     }
-    if found.is_empty() {
+    if findings.is_empty() {
         println!("every rule kept, nothing left over");
         return Ok(());
     }
-    println!("{} SEEDS FOUND SOMETHING; play one with --seed N --shrink", found.len());
-    Err(Failure::Told)
+    println!("{} SEEDS FOUND SOMETHING; play one with --seed N --shrink", findings.len());
+    Err(Failure::Reported)
 }
 
 // ---- Fleets ----
 
-/// What a seed draws, with a configuration if every fleet is to have one.
-fn draw(seed: u64, args: &SimulateArgs) -> fleet::Plan {
+/// Draws the fleet of a seed, with a configuration if every fleet must have one.
+fn draw_plan(seed: u64, args: &SimulateArgs) -> fleet::Plan {
     let plan = fleet::Plan::draw(seed, args.nodes as usize);
     if args.configuration {
         plan.configured()
@@ -197,8 +197,8 @@
     }
 }
 
-fn one_fleet(seed: u64, args: &SimulateArgs) -> Result<(), Failure> {
-    let plan = draw(seed, args);
+fn run_fleet_seed(seed: u64, args: &SimulateArgs) -> Result<(), Failure> {
+    let plan = draw_plan(seed, args);
     let seconds = |at: i64| at as f64 / 1e6;
     println!(
         "seed {seed}: {} nodes, {} voters, rounds of {:.1} s, links {} to {} us, watchdogs {:.1} s, calm at {:.3} s",
@@ -219,25 +219,25 @@
             fault.node
         );
     }
-    let mut before = VecDeque::new();
-    let mut told = |line: &str| {
+    let mut trace_tail = VecDeque::new();
+    let mut trace = |line: &str| {
         if args.trace {
             println!("{line}");
         } else {
-            before.push_back(line.to_owned());
-            if before.len() > BEFORE {
-                before.pop_front();
+            trace_tail.push_back(line.to_owned());
+            if trace_tail.len() > TRACE_LINES {
+                trace_tail.pop_front();
             }
         }
     };
-    let outcome = fleet::play(&plan, Some(&mut told));
+    let outcome = fleet::play(&plan, Some(&mut trace));
     println!(
         "{} steps, {:.1} s of virtual time, digest {:016x}",
         outcome.steps,
         seconds(outcome.time),
         outcome.digest
     );
-    tempted(&outcome.counts, &outcome.versions);
+    print_counts(&outcome.counts, &outcome.versions);
     let Some((step, why)) = outcome.finding else {
         println!(
             "every law kept, whole again {:.1} s after the last fault",
@@ -246,14 +246,14 @@
         return Ok(());
     };
     println!("BROKEN at step {step}: {why}");
-    if !before.is_empty() {
-        println!("what came last:");
-        before.iter().for_each(|line| println!("    {line}"));
+    if !trace_tail.is_empty() {
+        println!("last records:");
+        trace_tail.iter().for_each(|line| println!("    {line}"));
     }
-    Err(Failure::Told)
+    Err(Failure::Reported)
 }
 
-fn tempted(counts: &fleet::Counts, versions: &fleet::VersionCounts) {
+fn print_counts(counts: &fleet::Counts, versions: &fleet::VersionCounts) {
     println!(
         "{} entries agreed and {} applied again, {} orders answered, {} not in time, {} without a quorum, {} promises \
          compared with disks, {} batches lost or refused, {} facts looked at, {} words of {} bytes",
@@ -286,15 +286,15 @@
     );
 }
 
-fn many_fleets(args: &SimulateArgs) -> Result<(), Failure> {
+fn run_fleet_seeds(args: &SimulateArgs) -> Result<(), Failure> {
     let start = Instant::now();
     let nodes = args.nodes as usize;
     let (mut played, mut steps, mut time, mut longest) = (0_u64, 0_u64, 0.0, 0);
     let (mut counts, mut versions) = (fleet::Counts::default(), fleet::VersionCounts::default());
-    let mut found = BTreeMap::new();
-    seeds(
+    let mut findings = BTreeMap::new();
+    for_each_seed(
         args,
-        |seed| fleet::play(&draw(seed, args), None),
+        |seed| fleet::play(&draw_plan(seed, args), None),
         |seed, outcome| {
             played += 1;
             steps += outcome.steps;
@@ -303,7 +303,7 @@
             counts.add(&outcome.counts);
             versions.add(&outcome.versions);
             if let Some(finding) = outcome.finding {
-                found.insert(seed, finding);
+                findings.insert(seed, finding);
             }
             Ok(())
         },
@@ -315,14 +315,17 @@
         played as f64 * 60.0 / took,
         longest as f64 / 1e6
     );
-    tempted(&counts, &versions);
-    for (seed, (step, why)) in found.iter().take(LISTED) {
+    print_counts(&counts, &versions);
+    for (seed, (step, why)) in findings.iter().take(MAX_LISTED_FINDINGS) {
         println!("seed {seed}, step {step}: {why}");
     }
-    if found.is_empty() {
+    if findings.is_empty() {
         println!("every law kept, every fleet whole again");
         return Ok(());
     }
-    println!("{} SEEDS FOUND SOMETHING; play one with --fleet --nodes {nodes} --seed N --trace", found.len());
-    Err(Failure::Told)
+    println!(
+        "{} SEEDS FOUND SOMETHING; play one with --fleet --nodes {nodes} --seed N --trace",
+        findings.len()
+    );
+    Err(Failure::Reported)
 }
--- a/crates/lemoncleat-cli/src/starter.rs
+++ b/crates/lemoncleat-cli/src/starter.rs
@@ -1,4 +1,4 @@
-//! Starts access nodes for the laboratory.
+//! Starts access nodes in this process, for rehearsals and laboratory tools.
 
 use std::net::{SocketAddr, TcpListener};
 use std::time::Duration;
@@ -7,11 +7,11 @@
 use lemoncleat_node::Stats;
 use lemoncleat_service::{read_config, spawn, Control, Running};
 
-/// A node of a rehearsal, on a thread of its own.
+/// A running node of a rehearsal, on its own thread.
 pub struct RunningNode(Running);
 
 impl RunningNode {
-    /// What it has done so far.
+    /// Returns the node's statistics so far.
     pub fn stats(&self) -> Option<Stats> {
         self.0.stats()
     }
@@ -35,16 +35,16 @@
     }
 
     fn stop(self: Box<Self>) {
-        // How it ended is in the log; what it did is in the capture.
+        // The result is ignored: the log reports how the node ended, the capture what it did.
         let _ = self.0.stop();
     }
 }
 
-/// Starts a node from the text of a settings file, as `lemoncleat node` would.
+/// Starts a node from the text of a settings file, as `lemoncleat node` does.
 ///
 /// # Errors
 ///
-/// When the settings are unusable or its address is not to be had.
+/// Fails if the settings are invalid or the node cannot listen on its address.
 pub fn start_node(text: &str) -> Result<RunningNode, String> {
     let config = read_config(text).map_err(|error| error.in_file("settings"))?;
     let address = config.listen.first().ok_or("no address to listen on")?;
