--- a/crates/lemoncleat-simulate/benches/hop.rs
+++ b/crates/lemoncleat-simulate/benches/hop.rs
@@ -1,6 +1,6 @@
-//! What one hop adds in the node's core and its module, without sockets: both turns of a set-up that stands
-//! (request to attempt, answer to answer), calls paced in real time, 11 servers. From it the sum over 29
-//! hops. Prints JSON.
+//! Measures the latency that one hop adds in the node's core and its module, without sockets: both turns of a
+//! successful set-up (request to attempt, answer to answer), with calls paced in real time and 11 servers.
+//! From this it computes the latency of 29 hops. Prints JSON.
 
 use std::time::{Duration, Instant};
 
@@ -9,14 +9,14 @@
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{MessageBuilder, MessageRef};
 use lemoncleat_node::{ConnId, Input, ListEntry, ListNews, Node, NodeSettings, NumberingPlan, Output, Route};
-use lemoncleat_simulate::chain::sum;
+use lemoncleat_simulate::chain::chain_latency;
 use serde_json::json;
 
 const SERVERS: usize = 11;
 const HOPS: u32 = 29;
-/// What may be added, in microseconds.
-const TARGET: f64 = 2_000.0;
-const CLIENT: ConnId = ConnId(1);
+/// Latency that 29 hops may add, in microseconds.
+const TARGET_US: f64 = 2_000.0;
+const CLIENT_CONN: ConnId = ConnId(1);
 
 struct Hop {
     node: Node,
@@ -76,9 +76,9 @@
             let host = format!("s{}.bench", address.port() - 1_000);
             hop.input(Input::Bytes(conn, &capabilities(MessageBuilder::answer(&cer, 2001), &host)));
         }
-        hop.input(Input::Accepted(CLIENT));
+        hop.input(Input::Accepted(CLIENT_CONN));
         let cer = capabilities(MessageBuilder::request(d::CMD_CAPABILITIES, 0, false, 1, 1), "client.bench");
-        hop.input(Input::Bytes(CLIENT, &cer));
+        hop.input(Input::Bytes(CLIENT_CONN, &cer));
         hop.sent();
         hop
     }
@@ -91,7 +91,7 @@
         self.node.handle(self.now(), input, &mut self.out);
     }
 
-    /// What was sent, all of it written at once.
+    /// Returns what was sent, all of it reported as written at once.
     fn sent(&mut self) -> Vec<(ConnId, Vec<u8>)> {
         let now = self.now();
         let mut sent = Vec::new();
@@ -113,18 +113,18 @@
             .add_str(d::DESTINATION_REALM, "bench")
     }
 
-    /// A call that stands and is released; nanoseconds of the two turns of its set-up.
-    fn call(&mut self, id: u32) -> Option<u64> {
+    /// Sets up and releases a call; returns the nanoseconds of the two turns of its set-up.
+    fn set_up_and_release(&mut self, id: u32) -> Option<u64> {
         let request = self
             .message(d::CMD_AA, id)
             .add_u32(d::AUTH_REQUEST_TYPE, 1)
             .add_str(d::CALLED_STATION_ID, &format!("351{:03}000", id as usize % SERVERS))
             .build();
         let begun = Instant::now();
-        self.input(Input::Bytes(CLIENT, &request));
+        self.input(Input::Bytes(CLIENT_CONN, &request));
         let first = begun.elapsed();
         let sent = self.sent();
-        let (conn, bytes) = sent.iter().find(|(to, _)| *to != CLIENT)?;
+        let (conn, bytes) = sent.iter().find(|(to, _)| *to != CLIENT_CONN)?;
         let attempt = MessageRef::parse(bytes).ok()?;
         let answer = MessageBuilder::answer(&attempt, 2001)
             .add_str(d::ORIGIN_HOST, "s.bench")
@@ -133,11 +133,11 @@
         let begun = Instant::now();
         self.input(Input::Bytes(*conn, &answer));
         let second = begun.elapsed();
-        let answered = self.sent().iter().any(|(to, _)| *to == CLIENT);
+        let answered = self.sent().iter().any(|(to, _)| *to == CLIENT_CONN);
         let release = self.message(d::CMD_SESSION_TERMINATION, id).add_u32(d::TERMINATION_CAUSE, 1).build();
-        self.input(Input::Bytes(CLIENT, &release));
+        self.input(Input::Bytes(CLIENT_CONN, &release));
         for (to, bytes) in self.sent() {
-            if to != CLIENT {
+            if to != CLIENT_CONN {
                 if let Ok(request) = MessageRef::parse(&bytes) {
                     self.input(Input::Bytes(to, &MessageBuilder::answer(&request, 2001).build()));
                 }
@@ -148,11 +148,12 @@
     }
 }
 
-/// Paces calls, with the node's own timers in between.
-fn paced(rate: f64, span: Duration) -> (Histogram<u64>, u32) {
+/// Runs calls at a fixed rate, with the node's own timers in between; returns the latencies and the number of
+/// failed calls.
+fn run_paced(rate: f64, span: Duration) -> (Histogram<u64>, u32) {
     let mut hop = Hop::new();
     let Ok(mut histogram) = Histogram::<u64>::new(3) else { panic!("three digits") };
-    let (mut id, mut lost) = (1, 0);
+    let (mut id, mut failed) = (1, 0);
     while hop.start.elapsed() < span {
         id += 1;
         let due = Duration::from_secs_f64(f64::from(id - 1) / rate);
@@ -161,30 +162,30 @@
             hop.input(Input::Timeout);
             hop.sent();
         }
-        match hop.call(id) {
+        match hop.set_up_and_release(id) {
             Some(took) => histogram.record(took).unwrap_or_default(),
-            None => lost += 1,
+            None => failed += 1,
         }
     }
-    (histogram, lost)
+    (histogram, failed)
 }
 
 fn main() {
     let seconds =
-        |name: &str, usual| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual);
+        |name: &str, default| std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default);
     let runs = [(44.0, seconds("HOP_SLOW_SECONDS", 60)), (1_276.0, seconds("HOP_FAST_SECONDS", 20))];
     let rows: Vec<_> = runs
         .iter()
         .map(|&(rate, span)| {
-            let (histogram, lost) = paced(rate, Duration::from_secs(span));
+            let (histogram, failed) = run_paced(rate, Duration::from_secs(span));
             let counts: Vec<_> = histogram
                 .iter_recorded()
                 .map(|one| (one.value_iterated_to(), one.count_at_value()))
                 .collect();
-            let sum = sum(&counts, HOPS, 1_000, TARGET);
+            let latency = chain_latency(&counts, HOPS, 1_000, TARGET_US);
             json!({
-                "calls_per_s": rate, "servers": SERVERS, "samples": histogram.len(), "not_stood": lost,
-                "slowest_us": histogram.max() as f64 / 1e3, "sum": sum, "target_us": TARGET,
+                "calls_per_s": rate, "servers": SERVERS, "samples": histogram.len(), "not_stood": failed,
+                "slowest_us": histogram.max() as f64 / 1e3, "sum": latency, "target_us": TARGET_US,
             })
         })
         .collect();
--- a/crates/lemoncleat-simulate/src/chain.rs
+++ b/crates/lemoncleat-simulate/src/chain.rs
@@ -1,30 +1,30 @@
-//! A chain of services under the virtual clock: each server of a level, on taking a set-up, makes a call to
-//! the level below through a node of its own, and answers by what came back. The nodes' decisions are the
-//! real [`Controller`](lemoncleat::Controller) with its own events and actions; sockets, messages and the
-//! fronts around it are left out, and servers are simulated. At the last level a share of servers or of
-//! set-ups fails for a while.
+//! Simulates a chain of services under the virtual clock: a server that takes a set-up makes a call to the
+//! level below through its own node, and answers by the result. The nodes' decisions are made by the real
+//! [`Controller`](lemoncleat::Controller) with its own events and actions. Sockets, messages and front-ends
+//! are left out, and the servers are simulated. At the last level a share of the servers or of the set-ups
+//! fails for a while.
 
 mod run;
 mod tail;
 
 use serde::Serialize;
 
-pub use tail::{sum, Quantiles, Sum};
+pub use tail::{chain_latency, ChainLatency, Quantiles};
 
 use crate::Micros;
 
-/// Deepest chain that is played.
-pub const DEPTH_MOST: usize = 64;
+/// Largest depth of a chain.
+pub const MAX_DEPTH: usize = 64;
 
 /// How a failing set-up at the last level ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failing {
-    /// It is worked on and answered with an error.
+    /// The server does the work and answers with an error.
     Error,
-    /// It is worked on and never answered.
+    /// The server does the work and never answers.
     Silence,
-    /// It is refused at once, for 0.2 of the work: the processor is full.
+    /// The server refuses it at once, at 0.2 of the work of a set-up: its processor is full.
     Refusal,
 }
 
@@ -34,45 +34,46 @@
 pub enum Part {
     /// Some servers, with all their set-ups.
     Servers,
-    /// Set-ups by chance, at every server.
+    /// Random set-ups, at every server.
     SetUps,
 }
 
-/// What a server answers whose own call to the level below failed.
+/// Answer of a server whose own call to the level below failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Upward {
+pub enum UpwardAnswer {
     /// An error like any other.
     Error,
     /// A refusal: its processor is full.
     Refusal,
-    /// An error marked as tried already by the level below; the node above repeats nothing and blames nobody.
-    /// A stand-in: told to the controller as "every line of the number is busy", the one reason that it takes
-    /// as final.
+    /// An error marked as already tried by the level below: the node above neither repeats the call nor
+    /// counts the failure against the server. Substitute for a missing reason: the controller is given "every
+    /// line of the number is busy", the only reason that it takes as final.
     Tried,
 }
 
-/// How nodes and servers are set.
+/// Settings of nodes and servers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Variant {
-    /// Its name.
+    /// Name of the variant.
     pub name: &'static str,
     /// Most attempts of a call at each level.
     pub attempts: u32,
-    /// Servers tell their own node the time left; otherwise each call gets the whole patience anew.
+    /// Whether servers hand down the time left to their own node; otherwise each call gets the whole patience
+    /// again.
     pub handed_down: bool,
-    /// What a failure from below becomes.
-    pub upward: Upward,
-    /// Repeats that a node may send as a share of its first attempts; a stand-in in the host of the
-    /// controller.
+    /// Answer to the level above after a failure below.
+    pub upward: UpwardAnswer,
+    /// Repeats that a node may send as a share of its first attempts. The simulation enforces this in place
+    /// of the controller.
     pub budget: Option<f64>,
 }
 
 const fn variant(name: &'static str, attempts: u32, handed_down: bool) -> Variant {
-    Variant { name, attempts, handed_down, upward: Upward::Error, budget: None }
+    Variant { name, attempts, handed_down, upward: UpwardAnswer::Error, budget: None }
 }
 
-/// What is played: the settings of today, then the remedies.
+/// The variants played: the current settings first, then the remedies.
 pub const VARIANTS: [Variant; 10] = [
     variant("1", 1, true),
     variant("2", 2, true),
@@ -80,57 +81,58 @@
     variant("1-whole-patience", 1, false),
     variant("2-whole-patience", 2, false),
     variant("4-whole-patience", 4, false),
-    Variant { upward: Upward::Refusal, ..variant("4-refusal", 4, true) },
-    Variant { upward: Upward::Tried, ..variant("4-tried", 4, true) },
+    Variant { upward: UpwardAnswer::Refusal, ..variant("4-refusal", 4, true) },
+    Variant { upward: UpwardAnswer::Tried, ..variant("4-tried", 4, true) },
     Variant { budget: Some(0.1), ..variant("4-budget", 4, true) },
-    Variant { upward: Upward::Tried, budget: Some(0.1), ..variant("4-tried-budget", 4, true) },
+    Variant { upward: UpwardAnswer::Tried, budget: Some(0.1), ..variant("4-tried-budget", 4, true) },
 ];
 
-/// One run. Times in microseconds.
+/// A run to play. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Plan {
-    /// Everything random comes from it.
+    /// Seed of everything random.
     pub seed: u64,
-    /// Levels, 1 to [`DEPTH_MOST`].
+    /// Levels, 1 to [`MAX_DEPTH`].
     pub depth: usize,
-    /// Servers of each level, and nodes before it.
+    /// Servers of each level, and nodes in front of it.
     pub servers: usize,
-    /// Calls a second that enter.
+    /// Calls that enter per second.
     pub rate: f64,
-    /// Set-ups a second that a server can take.
+    /// Set-ups per second that a server can take.
     pub capacity: f64,
-    /// Time that a set-up takes at a server with nobody waiting.
+    /// Time that a set-up takes at a server with nothing queued.
     pub service: Micros,
-    /// Least way between node and server, and how much longer it may be.
+    /// Least travel time between node and server, and how much longer it may be.
     pub way: (Micros, Micros),
     /// How long a caller waits.
     pub patience: Micros,
-    /// How much before a caller's deadline a node answers.
+    /// How long before a caller's deadline a node answers.
     pub margin: Micros,
-    /// Time to settle in, not counted.
+    /// Settling time at the start, which is not counted.
     pub settle: Micros,
-    /// Time before the failing.
+    /// Time from then until servers begin to fail.
     pub before: Micros,
-    /// Length of the failing.
+    /// Length of the failure.
     pub failing: Micros,
-    /// Time after it in which calls still enter.
+    /// Time after the failure in which calls still enter.
     pub after: Micros,
     /// Share that fails, 0 to 1.
     pub fails: f64,
-    /// How.
+    /// How the failing set-ups end.
     pub how: Failing,
-    /// What.
+    /// What fails.
     pub part: Part,
     /// Settings of nodes and servers.
     pub variant: Variant,
 }
 
 impl Plan {
-    /// A chain of services with five servers each at half their capacity, 44 calls a second for a server.
+    /// Returns a chain with five servers per level, each at half of its capacity: 44 calls a second for a
+    /// server.
     pub fn new(seed: u64, depth: usize, fails: f64, variant: Variant) -> Plan {
         Plan {
             seed,
-            depth: depth.clamp(1, DEPTH_MOST),
+            depth: depth.clamp(1, MAX_DEPTH),
             servers: 5,
             rate: 220.0,
             capacity: 88.0,
@@ -150,69 +152,68 @@
     }
 }
 
-/// Time left until the deadline of the caller who entered, on arrival at a server of a level; in
-/// milliseconds.
+/// Time left until the deadline of the original caller, on arrival at a server of a level; in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Left {
     /// Half of the set-ups had at least this.
     pub half: f64,
-    /// All but one in a hundred had.
+    /// 99 in 100 set-ups had at least this.
     pub most: f64,
     /// Share of the set-ups that arrived after the deadline.
     pub past: f64,
 }
 
-/// What became of the calls that entered in one span.
+/// Results of the calls that entered in one span of time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Span {
     /// Calls that entered.
     pub entered: u64,
-    /// Of them, set up in time.
+    /// Of them, calls set up in time.
     pub stood: u64,
-    /// Of them, answered in time with a failure.
+    /// Of them, calls answered in time with a failure.
     pub failed: u64,
     /// Attempts for them, by level.
     pub attempts: Vec<u64>,
     /// Attempts for them that began after the caller's deadline, at all levels.
     pub late: u64,
-    /// Time left by level, of those that arrived.
+    /// Time left on arrival, by level.
     pub left: Vec<Left>,
 }
 
 impl Span {
-    /// Attempts at a level for each call that entered.
+    /// Returns the attempts at a level per call that entered.
     pub fn amplification(&self, level: usize) -> f64 {
         self.attempts.get(level).map_or(0.0, |&count| count as f64 / self.entered.max(1) as f64)
     }
 
-    /// Share of the calls that were set up in time.
+    /// Returns the share of the calls that were set up in time.
     pub fn share(&self) -> f64 {
         self.stood as f64 / self.entered.max(1) as f64
     }
 }
 
-/// What a run came to.
+/// Result of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Outcome {
-    /// Equal for equal runs.
+    /// Digest of the run: equal runs have equal digests.
     pub digest: u64,
-    /// Events carried out.
+    /// Events processed.
     pub steps: u64,
-    /// The first law that was broken: one answer to each call by its deadline, no attempt after the deadline
-    /// handed down.
+    /// The first broken invariant: each call has one answer by its deadline, and no attempt begins after the
+    /// deadline handed down.
     pub broken: Option<String>,
     /// Calls that entered before, while and after the last level failed.
     pub spans: [Span; 3],
     /// Set-ups that reached the last level, by second from the start.
     pub bottom: Vec<u64>,
-    /// Set-ups a second at the last level before the failing.
+    /// Set-ups a second at the last level before the failure.
     pub bottom_before: f64,
-    /// The most in a second from the failing on.
+    /// Most set-ups in a second from the beginning of the failure on.
     pub bottom_most: u64,
     /// Set-ups a second that the last level can take.
     pub bottom_capacity: f64,
-    /// Seconds from the end of the failing until load and answers were as before and stayed so; none if
-    /// never.
+    /// Seconds from the end of the failure until load and answers had returned to what they were before, and
+    /// stayed there; none if they never did.
     pub at_rest: Option<f64>,
 }
 
@@ -220,7 +221,7 @@
 ///
 /// # Errors
 ///
-/// When the settings are none that a controller can work with.
+/// When the controller rejects the settings.
 pub fn play(plan: &Plan) -> Result<Outcome, lemoncleat::SettingsError> {
     Ok(run::Run::new(plan)?.play())
 }
--- a/crates/lemoncleat-simulate/src/chain/run.rs
+++ b/crates/lemoncleat-simulate/src/chain/run.rs
@@ -1,28 +1,29 @@
-//! The run of a chain: events in order of time, each carried out whole.
+//! Runs a chain: one event queue in the order of time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews, Outcome as Ended,
-    Reason, Report, ServerId, Settings, SettingsError,
+    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews,
+    Outcome as AttemptOutcome, Reason, Report, ServerId, Settings, SettingsError,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::{Failing, Left, Outcome, Part, Plan, Span, Upward};
+use super::{Failing, Left, Outcome, Part, Plan, Span, UpwardAnswer};
 use crate::Micros;
 
-/// A server refuses a set-up that would wait longer, for this much of a set-up's work.
-const QUEUE: Micros = 400_000;
-const REFUSAL: f64 = 0.2;
-/// Repeats that a budget saves up at most.
-const SAVED: f64 = 5.0;
-/// How near load and answers come to what they were, as shares, to count as at rest.
-const REST: (f64, f64) = (0.25, 0.02);
+/// Longest wait at a server; it refuses a set-up that would wait longer, at this share of a set-up's work.
+const MAX_QUEUE_WAIT_US: Micros = 400_000;
+const REFUSAL_WORK_SHARE: f64 = 0.2;
+/// Most repeats that a budget saves up.
+const MAX_SAVED_REPEATS: f64 = 5.0;
+/// Largest relative deviation of the load, and largest drop in the share of calls set up in time, that count
+/// as at rest.
+const REST_TOLERANCE: (f64, f64) = (0.25, 0.02);
 const SECOND: Micros = 1_000_000;
 
-/// What a server says to a set-up.
+/// Answer of a server to a set-up.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Answer {
     Ok,
@@ -32,24 +33,24 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    /// A call enters.
+enum SimEvent {
+    /// A call enters the chain.
     Enter,
-    /// A node's timer.
+    /// A node's timer expires.
     Timer { level: usize, node: usize, token: u64 },
     /// A set-up arrives at its server.
-    Reach(u64),
-    /// The server has worked on it.
-    Done(u64),
+    ServerReceives(u64),
+    /// The server has done its work on the set-up.
+    ServerDone(u64),
     /// An answer arrives at the node.
-    Answer(u64, Answer),
-    /// The node stops waiting.
-    Stop { attempt: u64, cancelled: bool },
-    /// The server hears that the attempt was withdrawn.
-    Withdraw(u64),
+    AnswerArrives(u64, Answer),
+    /// The node stops waiting for the attempt.
+    AttemptEnds { attempt: u64, cancelled: bool },
+    /// The server learns that the attempt was withdrawn.
+    ServerWithdraws(u64),
 }
 
-struct Root {
+struct RootCall {
     deadline: Micros,
     span: Option<usize>,
     second: usize,
@@ -57,17 +58,17 @@
 }
 
 /// A call at a node.
-struct At {
+struct NodeCall {
     root: usize,
     level: usize,
     node: usize,
-    /// The attempt of the level above that it serves.
-    above: Option<u64>,
-    /// The deadline that was told, and by when the controller is to have answered.
+    /// The attempt of the level above that this call serves.
+    parent_attempt: Option<u64>,
+    /// The caller's deadline, and the time by which the controller must have answered.
     deadline: Micros,
     answer_by: Micros,
     attempts: u32,
-    out: Option<u64>,
+    pending_attempt: Option<u64>,
 }
 
 struct Attempt {
@@ -77,20 +78,20 @@
     number: u32,
     server: usize,
     sent: Micros,
-    /// Time told to the server, from its arrival there; the deadline once it has arrived.
-    told: Micros,
+    /// Time left that is told to the server, and the deadline, which the server computes from it on arrival.
+    time_told: Micros,
     deadline: Micros,
-    /// Whether the node still waits, and whether the server still works.
+    /// Whether the node still waits, and whether the server still works on it.
     waited_for: bool,
     worked_on: bool,
     /// The call that the server made for it.
-    below: Option<u64>,
+    child_call: Option<u64>,
 }
 
 struct Node {
     controller: Controller,
-    /// Repeats that the budget leaves.
-    saved: f64,
+    /// Repeats that the budget has left.
+    saved_repeats: f64,
 }
 
 pub(super) struct Run<'a> {
@@ -98,21 +99,21 @@
     rng: SmallRng,
     now: Micros,
     steps: u64,
-    turn: u64,
+    event_seq: u64,
     digest: u64,
     broken: Option<String>,
-    queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
     nodes: Vec<Vec<Node>>,
-    /// When each server has done what it took.
+    /// Time until which each server is busy.
     busy: Vec<Vec<Micros>>,
-    roots: Vec<Root>,
-    calls: BTreeMap<u64, At>,
+    roots: Vec<RootCall>,
+    calls: BTreeMap<u64, NodeCall>,
     attempts: BTreeMap<u64, Attempt>,
     next: u64,
     spans: [Span; 3],
     left: [Vec<Vec<Micros>>; 3],
     bottom: Vec<u64>,
-    /// Calls that entered and those that stood in time, by second.
+    /// Calls that entered and those set up in time, by second.
     seconds: Vec<(u64, u64)>,
 }
 
@@ -149,7 +150,7 @@
         let list: Vec<Member> = (0..plan.servers)
             .map(members)
             .enumerate()
-            .map(|(at, one)| Member { server: ServerId(at as u32), place: at as i64, ..one })
+            .map(|(at, member)| Member { server: ServerId(at as u32), place: at as i64, ..member })
             .collect();
         let mut nodes = Vec::new();
         for _ in 0..plan.depth {
@@ -158,7 +159,7 @@
                 let mut controller = Controller::new(settings(number as u32), rng.random())?;
                 let news = MemberNews::Complete(list.clone());
                 controller.handle(0, Event::Members(news), &mut Vec::new());
-                level.push(Node { controller, saved: SAVED });
+                level.push(Node { controller, saved_repeats: MAX_SAVED_REPEATS });
             }
             nodes.push(level);
         }
@@ -169,7 +170,7 @@
             rng,
             now: 0,
             steps: 0,
-            turn: 0,
+            event_seq: 0,
             digest: 0xcbf2_9ce4_8422_2325,
             broken: None,
             queue: BinaryHeap::new(),
@@ -184,27 +185,27 @@
             bottom: Vec::new(),
             seconds: Vec::new(),
         };
-        run.at(0, What::Enter);
+        run.at(0, SimEvent::Enter);
         Ok(run)
     }
 
-    fn at(&mut self, at: Micros, what: What) {
-        self.turn += 1;
-        self.queue.push(Reverse((at, self.turn, what)));
+    fn at(&mut self, at: Micros, event: SimEvent) {
+        self.event_seq += 1;
+        self.queue.push(Reverse((at, self.event_seq, event)));
     }
 
-    fn way(&mut self) -> Micros {
-        let (least, more) = self.plan.way;
-        least + self.rng.random_range(0..=more.max(0))
+    fn travel_time(&mut self) -> Micros {
+        let (least, extra) = self.plan.way;
+        least + self.rng.random_range(0..=extra.max(0))
     }
 
-    fn note(&mut self, words: [u64; 3]) {
+    fn update_digest(&mut self, words: [u64; 3]) {
         for word in words {
             self.digest = (self.digest ^ word).wrapping_mul(0x0000_0100_0000_01b3).rotate_left(23);
         }
     }
 
-    fn breaks(&mut self, why: impl FnOnce() -> String) {
+    fn fail(&mut self, why: impl FnOnce() -> String) {
         if self.broken.is_none() {
             self.broken = Some(format!("at {} us: {}", self.now, why()));
         }
@@ -215,7 +216,7 @@
         (from, from + self.plan.failing)
     }
 
-    /// Where a moment lies: before, while or after the failing; none while settling in.
+    /// Returns the span of a time: before, while or after the failure; none during settling.
     fn span(&self, at: Micros) -> Option<usize> {
         let (from, until) = self.failing();
         match at {
@@ -227,41 +228,41 @@
     }
 
     pub(super) fn play(mut self) -> Outcome {
-        while let Some(Reverse((at, _, what))) = self.queue.pop() {
+        while let Some(Reverse((at, _, event))) = self.queue.pop() {
             self.now = at;
             self.steps += 1;
-            self.event(what);
+            self.handle_event(event);
         }
         if let Some(at) = self.roots.iter().position(|root| !root.answered) {
-            self.breaks(|| format!("call {at} was never answered"));
+            self.fail(|| format!("call {at} was never answered"));
         }
         self.outcome()
     }
 
-    fn event(&mut self, what: What) {
-        match what {
-            What::Enter => self.enter(),
-            What::Timer { level, node, token } => self.tell(level, node, Event::Timer(token)),
-            What::Reach(attempt) => self.reach(attempt),
-            What::Done(attempt) => self.done(attempt),
-            What::Answer(attempt, answer) => self.answered(attempt, answer),
-            What::Stop { attempt, cancelled } => self.stop(attempt, cancelled),
-            What::Withdraw(attempt) => self.withdraw(attempt),
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Enter => self.enter_call(),
+            SimEvent::Timer { level, node, token } => self.drive_controller(level, node, Event::Timer(token)),
+            SimEvent::ServerReceives(attempt) => self.server_receives(attempt),
+            SimEvent::ServerDone(attempt) => self.server_done(attempt),
+            SimEvent::AnswerArrives(attempt, answer) => self.answer_arrives(attempt, answer),
+            SimEvent::AttemptEnds { attempt, cancelled } => self.end_attempt(attempt, cancelled),
+            SimEvent::ServerWithdraws(attempt) => self.server_withdraws(attempt),
         }
     }
 
-    fn enter(&mut self) {
+    fn enter_call(&mut self) {
         let plan = self.plan;
         let gap = (-(1.0 - self.rng.random::<f64>()).ln() * 1e6 / plan.rate.max(1e-3)) as Micros + 1;
         let end = self.failing().1 + plan.after;
         if self.now + gap < end {
-            self.at(self.now + gap, What::Enter);
+            self.at(self.now + gap, SimEvent::Enter);
         }
         let root = self.roots.len();
         let second = (self.now / SECOND) as usize;
         let deadline = self.now + plan.patience;
         let span = self.span(self.now);
-        self.roots.push(Root { deadline, span, second, answered: false });
+        self.roots.push(RootCall { deadline, span, second, answered: false });
         if let Some(span) = span {
             self.spans[span].entered += 1;
         }
@@ -270,20 +271,36 @@
         }
         self.seconds[second].0 += 1;
         let node = self.rng.random_range(0..plan.servers);
-        self.call(root, 0, node, None, plan.patience);
+        self.start_call(root, 0, node, None, plan.patience);
     }
 
-    /// A call comes to a node.
-    fn call(&mut self, root: usize, level: usize, node: usize, above: Option<u64>, patience: Micros) {
+    /// Starts a call at a node.
+    fn start_call(
+        &mut self,
+        root: usize,
+        level: usize,
+        node: usize,
+        parent_attempt: Option<u64>,
+        patience: Micros,
+    ) {
         let id = self.next;
         self.next += 1;
         let (now, margin) = (self.now, self.plan.margin.min(patience / 2));
         let deadline = now + patience;
         let answer_by = deadline - margin;
-        let at = At { root, level, node, above, deadline, answer_by, attempts: 0, out: None };
+        let at = NodeCall {
+            root,
+            level,
+            node,
+            parent_attempt,
+            deadline,
+            answer_by,
+            attempts: 0,
+            pending_attempt: None,
+        };
         self.calls.insert(id, at);
-        if let Some(attempt) = above.and_then(|above| self.attempts.get_mut(&above)) {
-            attempt.below = Some(id);
+        if let Some(attempt) = parent_attempt.and_then(|parent| self.attempts.get_mut(&parent)) {
+            attempt.child_call = Some(id);
         }
         let call = Call {
             id: CallId(id),
@@ -292,24 +309,24 @@
             destination: (id % self.plan.servers as u64) as i64,
             ..Call::default()
         };
-        self.tell(level, node, Event::Call(call));
+        self.drive_controller(level, node, Event::Call(call));
     }
 
-    fn tell(&mut self, level: usize, node: usize, event: Event) {
+    fn drive_controller(&mut self, level: usize, node: usize, event: Event) {
         let mut actions = Vec::new();
         self.nodes[level][node].controller.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { call, server, timeout } => self.send(call.0, server.0 as usize, timeout),
-                Action::Refuse { call, .. } => self.give_up(call.0),
-                Action::Fail(call) => self.give_up(call.0),
+                Action::Refuse { call, .. } => self.fail_call(call.0),
+                Action::Fail(call) => self.fail_call(call.0),
                 Action::Cancel { call, .. } => {
-                    if let Some(attempt) = self.calls.get(&call.0).and_then(|call| call.out) {
-                        self.at(self.now, What::Stop { attempt, cancelled: true });
+                    if let Some(attempt) = self.calls.get(&call.0).and_then(|call| call.pending_attempt) {
+                        self.at(self.now, SimEvent::AttemptEnds { attempt, cancelled: true });
                     }
                 }
                 Action::Timer { token, delay } => {
-                    self.at(self.now + delay, What::Timer { level, node, token })
+                    self.at(self.now + delay, SimEvent::Timer { level, node, token })
                 }
                 _ => {}
             }
@@ -319,89 +336,89 @@
     fn send(&mut self, id: u64, server: usize, timeout: Micros) {
         let (now, plan) = (self.now, self.plan);
         let Some(call) = self.calls.get_mut(&id) else {
-            return self.breaks(|| format!("an attempt for call {id}, which has its answer"));
+            return self.fail(|| format!("an attempt for call {id}, which is already answered"));
         };
         let (root, level, node, number) = (call.root, call.level, call.node, call.attempts);
         call.attempts += 1;
         if let Some(share) = plan.variant.budget {
-            let saved = &mut self.nodes[level][node].saved;
+            let saved_repeats = &mut self.nodes[level][node].saved_repeats;
             if number == 0 {
-                *saved = (*saved + share).min(SAVED);
-            } else if *saved >= 1.0 {
-                *saved -= 1.0;
+                *saved_repeats = (*saved_repeats + share).min(MAX_SAVED_REPEATS);
+            } else if *saved_repeats >= 1.0 {
+                *saved_repeats -= 1.0;
             } else {
-                // The budget is used up: the repeat does not go out, and the call has its answer.
+                // The budget is used up: the repeat is not sent, and the call is answered.
                 let ended = Event::Ended {
                     call: CallId(id),
                     attempt: number,
                     server: ServerId(server as u32),
-                    outcome: Ended::Moot,
+                    outcome: AttemptOutcome::Moot,
                     lag: 0,
                     closed: true,
                     reason: Reason::None,
                     report: Report::default(),
                 };
-                self.give_up(id);
-                return self.tell(level, node, ended);
+                self.fail_call(id);
+                return self.drive_controller(level, node, ended);
             }
         }
-        let (deadline, answer_by, out) = (call.deadline, call.answer_by, call.out);
+        let (deadline, answer_by, pending_attempt) = (call.deadline, call.answer_by, call.pending_attempt);
         if now >= deadline {
-            self.breaks(|| format!("an attempt for call {id} after the deadline handed down, {deadline} us"));
+            self.fail(|| format!("an attempt for call {id} after the deadline handed down, {deadline} us"));
         }
-        if out.is_some() {
-            self.breaks(|| format!("call {id} has two attempts out"));
+        if pending_attempt.is_some() {
+            self.fail(|| format!("call {id} has two attempts under way"));
         }
         let ends = if timeout > 0 { answer_by.min(now + timeout) } else { answer_by };
         let attempt = self.next;
         self.next += 1;
-        let told = if plan.variant.handed_down { ends - now } else { plan.patience };
-        let one = Attempt {
+        let time_told = if plan.variant.handed_down { ends - now } else { plan.patience };
+        let state = Attempt {
             root,
             call: id,
             level,
             number,
             server,
             sent: now,
-            told,
+            time_told,
             deadline: now,
             waited_for: true,
             worked_on: true,
-            below: None,
+            child_call: None,
         };
-        self.attempts.insert(attempt, one);
+        self.attempts.insert(attempt, state);
         if let Some(call) = self.calls.get_mut(&id) {
-            call.out = Some(attempt);
+            call.pending_attempt = Some(attempt);
         }
         if let Some(span) = self.roots[root].span {
             self.spans[span].attempts[level] += 1;
             self.spans[span].late += u64::from(now > self.roots[root].deadline);
         }
-        self.note([now as u64, id, (level * plan.servers + server) as u64]);
-        let way = self.way();
-        self.at(now + way, What::Reach(attempt));
-        self.at(ends, What::Stop { attempt, cancelled: false });
+        self.update_digest([now as u64, id, (level * plan.servers + server) as u64]);
+        let travel_time = self.travel_time();
+        self.at(now + travel_time, SimEvent::ServerReceives(attempt));
+        self.at(ends, SimEvent::AttemptEnds { attempt, cancelled: false });
     }
 
-    /// A node's final answer to a call without success.
-    fn give_up(&mut self, id: u64) {
-        self.close(id, false);
+    /// Ends a call without success.
+    fn fail_call(&mut self, id: u64) {
+        self.answer_call(id, false);
     }
 
-    /// The final answer to a call: to the caller, or to the server that made it.
-    fn close(&mut self, id: u64, good: bool) {
+    /// Gives the final answer to a call: to the caller, or to the server that made it.
+    fn answer_call(&mut self, id: u64, good: bool) {
         let Some(call) = self.calls.remove(&id) else {
-            return self.breaks(|| format!("a second answer to call {id}"));
+            return self.fail(|| format!("a second answer to call {id}"));
         };
         let now = self.now;
-        self.note([now as u64, id, u64::from(good) + 2]);
-        let Some(above) = call.above else {
+        self.update_digest([now as u64, id, u64::from(good) + 2]);
+        let Some(parent_attempt) = call.parent_attempt else {
             let root = &mut self.roots[call.root];
             let (twice, late) = (root.answered, now > root.deadline);
             root.answered = true;
             let (span, second) = (root.span, root.second);
             if twice || late {
-                self.breaks(|| format!("the answer to call {id}: second {twice}, late {late}"));
+                self.fail(|| format!("invalid answer to call {id}: repeated {twice}, late {late}"));
             }
             if let Some(span) = span {
                 let span = &mut self.spans[span];
@@ -412,23 +429,23 @@
         };
         let answer = match (good, self.plan.variant.upward) {
             (true, _) => Answer::Ok,
-            (false, Upward::Error) => Answer::Error,
-            (false, Upward::Refusal) => Answer::Full { wait: 0 },
-            (false, Upward::Tried) => Answer::Tried,
+            (false, UpwardAnswer::Error) => Answer::Error,
+            (false, UpwardAnswer::Refusal) => Answer::Full { wait: 0 },
+            (false, UpwardAnswer::Tried) => Answer::Tried,
         };
-        self.say(above, answer);
+        self.server_answers(parent_attempt, answer);
     }
 
-    /// A server answers.
-    fn say(&mut self, attempt: u64, answer: Answer) {
-        let Some(one) = self.attempts.get_mut(&attempt) else { return };
-        one.worked_on = false;
-        one.below = None;
-        let way = self.way();
-        self.at(self.now + way, What::Answer(attempt, answer));
+    /// Sends a server's answer.
+    fn server_answers(&mut self, attempt: u64, answer: Answer) {
+        let Some(state) = self.attempts.get_mut(&attempt) else { return };
+        state.worked_on = false;
+        state.child_call = None;
+        let travel_time = self.travel_time();
+        self.at(self.now + travel_time, SimEvent::AnswerArrives(attempt, answer));
     }
 
-    fn fails(&mut self, server: usize) -> bool {
+    fn is_failing(&mut self, server: usize) -> bool {
         let (from, until) = self.failing();
         if self.now < from || self.now >= until {
             return false;
@@ -439,11 +456,11 @@
         }
     }
 
-    fn reach(&mut self, id: u64) {
+    fn server_receives(&mut self, id: u64) {
         let (now, plan) = (self.now, self.plan);
-        let Some(one) = self.attempts.get_mut(&id) else { return };
-        one.deadline = now + one.told;
-        let (root, level, server) = (one.root, one.level, one.server);
+        let Some(state) = self.attempts.get_mut(&id) else { return };
+        state.deadline = now + state.time_told;
+        let (root, level, server) = (state.root, state.level, state.server);
         if let Some(span) = self.roots[root].span {
             self.left[span][level].push(self.roots[root].deadline - now);
         }
@@ -456,121 +473,124 @@
             self.bottom[second] += 1;
         }
         let work = 1e6 / plan.capacity.max(1e-3);
-        let refuses = last && plan.how == Failing::Refusal && self.fails(server);
+        let refuses = last && plan.how == Failing::Refusal && self.is_failing(server);
         let busy = &mut self.busy[level][server];
         let begins = now.max(*busy);
         let wait = begins - now;
-        if wait > QUEUE || refuses {
-            *busy = begins + (work * REFUSAL) as Micros;
-            return self.say(id, Answer::Full { wait });
+        if wait > MAX_QUEUE_WAIT_US || refuses {
+            *busy = begins + (work * REFUSAL_WORK_SHARE) as Micros;
+            return self.server_answers(id, Answer::Full { wait });
         }
         *busy = begins + work as Micros;
-        self.at(begins + plan.service, What::Done(id));
+        self.at(begins + plan.service, SimEvent::ServerDone(id));
     }
 
-    fn done(&mut self, id: u64) {
+    fn server_done(&mut self, id: u64) {
         let (now, plan) = (self.now, self.plan);
-        let Some(one) = self.attempts.get(&id) else { return };
-        if !one.worked_on {
+        let Some(state) = self.attempts.get(&id) else { return };
+        if !state.worked_on {
             return;
         }
-        let (root, level, server) = (one.root, one.level, one.server);
-        let left = one.deadline - now;
+        let (root, level, server) = (state.root, state.level, state.server);
+        let left = state.deadline - now;
         if level + 1 == plan.depth {
-            if plan.how == Failing::Refusal || !self.fails(server) {
-                return self.say(id, Answer::Ok);
+            if plan.how == Failing::Refusal || !self.is_failing(server) {
+                return self.server_answers(id, Answer::Ok);
             }
             if plan.how == Failing::Error {
-                self.say(id, Answer::Error);
+                self.server_answers(id, Answer::Error);
             }
             return;
         }
         let patience = if plan.variant.handed_down { left } else { plan.patience };
         if patience <= 0 {
-            return self.say(id, Answer::Error);
+            return self.server_answers(id, Answer::Error);
         }
-        self.call(root, level + 1, server, Some(id), patience);
+        self.start_call(root, level + 1, server, Some(id), patience);
     }
 
-    /// What a node tells its controller of the end of an attempt that it waited for.
-    fn ended(&mut self, id: u64, outcome: Ended, reason: Reason) {
-        let Some(one) = self.attempts.get_mut(&id) else { return };
-        one.waited_for = false;
-        let (call, number, server, lag) = (one.call, one.number, one.server, self.now - one.sent);
+    /// Reports to the controller the end of an attempt that the node waited for.
+    fn report_ended(&mut self, id: u64, outcome: AttemptOutcome, reason: Reason) {
+        let Some(state) = self.attempts.get_mut(&id) else { return };
+        state.waited_for = false;
+        let (call, number, server, lag) = (state.call, state.number, state.server, self.now - state.sent);
         let Some(at) = self.calls.get_mut(&call) else { return };
-        at.out = None;
+        at.pending_attempt = None;
         let (level, node) = (at.level, at.node);
         let (name, server) = (CallId(call), ServerId(server as u32));
-        if outcome == Ended::Ok {
-            self.tell(level, node, Event::Started { call: name, attempt: number, server, lag });
-            return self.close(call, true);
+        if outcome == AttemptOutcome::Ok {
+            self.drive_controller(level, node, Event::Started { call: name, attempt: number, server, lag });
+            return self.answer_call(call, true);
         }
         let report = Report::default();
         let ended =
             Event::Ended { call: name, attempt: number, server, outcome, lag, closed: false, reason, report };
-        self.tell(level, node, ended);
+        self.drive_controller(level, node, ended);
     }
 
-    fn answered(&mut self, id: u64, answer: Answer) {
-        let Some(one) = self.attempts.get(&id) else { return };
-        if one.waited_for {
+    fn answer_arrives(&mut self, id: u64, answer: Answer) {
+        let Some(state) = self.attempts.get(&id) else { return };
+        if state.waited_for {
             let (outcome, reason) = match answer {
-                Answer::Ok => (Ended::Ok, Reason::None),
-                Answer::Error => (Ended::Error, Reason::None),
-                Answer::Tried => (Ended::Error, Reason::LinesBusy),
-                Answer::Full { wait } => (Ended::Full, Reason::ProcessorFull { wait }),
+                Answer::Ok => (AttemptOutcome::Ok, Reason::None),
+                Answer::Error => (AttemptOutcome::Error, Reason::None),
+                Answer::Tried => (AttemptOutcome::Error, Reason::LinesBusy),
+                Answer::Full { wait } => (AttemptOutcome::Full, Reason::ProcessorFull { wait }),
             };
-            self.ended(id, outcome, reason);
+            self.report_ended(id, outcome, reason);
         }
         self.attempts.remove(&id);
     }
 
-    fn stop(&mut self, id: u64, cancelled: bool) {
-        if !self.attempts.get(&id).is_some_and(|one| one.waited_for) {
+    fn end_attempt(&mut self, id: u64, cancelled: bool) {
+        if !self.attempts.get(&id).is_some_and(|state| state.waited_for) {
             return;
         }
-        let outcome = if cancelled { Ended::Cancelled } else { Ended::TimedOut };
-        let way = self.way();
-        self.at(self.now + way, What::Withdraw(id));
-        self.ended(id, outcome, Reason::None);
+        let outcome = if cancelled { AttemptOutcome::Cancelled } else { AttemptOutcome::TimedOut };
+        let travel_time = self.travel_time();
+        self.at(self.now + travel_time, SimEvent::ServerWithdraws(id));
+        self.report_ended(id, outcome, Reason::None);
     }
 
-    /// A server drops what was withdrawn, and its own node's call with it.
-    fn withdraw(&mut self, id: u64) {
-        let Some(one) = self.attempts.remove(&id) else { return };
-        let Some(call) = one.below.and_then(|below| self.calls.remove(&below)) else { return };
-        let below = one.below.unwrap_or_default();
-        if let Some(out) = call.out.and_then(|out| self.attempts.get_mut(&out)) {
-            out.waited_for = false;
-        }
-        if let Some(out) = call.out {
-            let way = self.way();
-            self.at(self.now + way, What::Withdraw(out));
-        }
-        self.tell(call.level, call.node, Event::CallerGone(CallId(below)));
+    /// A server drops a withdrawn set-up, and its own node's call with it.
+    fn server_withdraws(&mut self, id: u64) {
+        let Some(state) = self.attempts.remove(&id) else { return };
+        let Some(call) = state.child_call.and_then(|child| self.calls.remove(&child)) else { return };
+        let child_call = state.child_call.unwrap_or_default();
+        if let Some(pending_attempt) =
+            call.pending_attempt.and_then(|attempt| self.attempts.get_mut(&attempt))
+        {
+            pending_attempt.waited_for = false;
+        }
+        if let Some(pending_attempt) = call.pending_attempt {
+            let travel_time = self.travel_time();
+            self.at(self.now + travel_time, SimEvent::ServerWithdraws(pending_attempt));
+        }
+        self.drive_controller(call.level, call.node, Event::CallerGone(CallId(child_call)));
     }
 
     fn outcome(mut self) -> Outcome {
         let (from, until) = self.failing();
         let second = |at: Micros| (at / SECOND) as usize;
         let load = |at: usize| self.bottom.get(at).copied().unwrap_or(0);
-        let calm = second(self.plan.settle)..second(from);
-        let width = calm.len().max(1) as f64;
-        let before = calm.map(load).sum::<u64>() as f64 / width;
+        let baseline = second(self.plan.settle)..second(from);
+        let width = baseline.len().max(1) as f64;
+        let before = baseline.map(load).sum::<u64>() as f64 / width;
         let share = self.spans[0].share();
-        // Means of two seconds: those of one swing by chance.
-        let rests = |at: usize| {
+        // Means of two seconds, since single seconds vary too much by chance.
+        let near_baseline = |at: usize| {
             let mean = (load(at) + load(at + 1)) as f64 / 2.0;
             let (entered, stood) = (at..at + 2).fold((0, 0), |(entered, stood), at| {
                 let (more, good) = self.seconds.get(at).copied().unwrap_or((0, 0));
                 (entered + more, stood + good)
             });
-            (mean - before).abs() <= REST.0 * before && stood as f64 >= (share - REST.1) * entered as f64
+            (mean - before).abs() <= REST_TOLERANCE.0 * before
+                && stood as f64 >= (share - REST_TOLERANCE.1) * entered as f64
         };
         let end = second(until + self.plan.after);
         let (first, last) = (second(until), end.saturating_sub(2));
-        let restless = (first..=last).rev().find(|&at| !rests(at));
-        let at_rest = match restless {
+        let last_unsettled = (first..=last).rev().find(|&at| !near_baseline(at));
+        let at_rest = match last_unsettled {
             None => Some(0.0),
             Some(at) if at < last => Some((at + 1 - first) as f64),
             Some(_) => None,
--- a/crates/lemoncleat-simulate/src/chain/tail.rs
+++ b/crates/lemoncleat-simulate/src/chain/tail.rs
@@ -1,4 +1,4 @@
-//! The sum of what many hops add, from a histogram of what one adds.
+//! Latency that a chain of hops adds, computed from a histogram of one hop.
 
 use serde::Serialize;
 
@@ -15,18 +15,18 @@
     pub p999: f64,
 }
 
-/// What a chain of hops adds; in microseconds.
+/// Latency that a chain of hops adds; in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Sum {
+pub struct ChainLatency {
     /// Hops of the chain.
     pub hops: u32,
-    /// One hop.
+    /// Latency of one hop.
     pub hop: Quantiles,
-    /// The chain, if hops are independent (convolution).
+    /// Latency of the chain if hops are independent (convolution).
     pub independent: Quantiles,
-    /// The chain, if all hops of a call are slow together: each at the same quantile.
+    /// Latency of the chain if all hops of a call are slow together: each at the same quantile.
     pub together: Quantiles,
-    /// 99 in 100 are at most this, however the hops depend on one another.
+    /// 99 in 100 chains are at most this, however the hops depend on one another.
     pub p99_bound: f64,
     /// Share of the chains over the target if hops are independent.
     pub over: f64,
@@ -51,24 +51,24 @@
     Quantiles { mean: mean * unit, p50: at(0.5), p99: at(0.99), p999: at(0.999) }
 }
 
-/// The sum over so many hops, from counts by value in nanoseconds, against a target in microseconds. Values
-/// are rounded up to whole bins of `bin` nanoseconds, so that sums are never told too small; a sum is too
-/// large by a bin for each hop at most.
-pub fn sum(hop: &[(u64, u64)], hops: u32, bin: u64, target: f64) -> Sum {
+/// Computes the latency of a chain of `hops` hops from pairs of value in nanoseconds and count, against a
+/// target in microseconds. Values are rounded up to whole bins of `bin` nanoseconds, so that sums are never
+/// too small; a sum is too large by at most one bin for each hop.
+pub fn chain_latency(hop: &[(u64, u64)], hops: u32, bin: u64, target: f64) -> ChainLatency {
     let bin = bin.max(1);
     let mut bins = std::collections::BTreeMap::new();
     let all: u64 = hop.iter().map(|&(_, count)| count).sum();
     for &(value, count) in hop {
         *bins.entry(value.div_ceil(bin)).or_insert(0.0) += count as f64 / all.max(1) as f64;
     }
-    let base: Vec<(u64, f64)> = bins.into_iter().collect();
-    let Some(&(top, _)) = base.last() else { return Sum { hops, ..Sum::default() } };
+    let hop_weights: Vec<(u64, f64)> = bins.into_iter().collect();
+    let Some(&(top, _)) = hop_weights.last() else { return ChainLatency { hops, ..ChainLatency::default() } };
     let mut sums = vec![1.0];
     for _ in 0..hops {
         let mut next = vec![0.0; sums.len() + top as usize];
-        for &(value, weight) in &base {
-            for (at, &had) in sums.iter().enumerate().filter(|(_, &had)| had > 0.0) {
-                next[at + value as usize] += had * weight;
+        for &(value, weight) in &hop_weights {
+            for (at, &share) in sums.iter().enumerate().filter(|(_, &share)| share > 0.0) {
+                next[at + value as usize] += share * weight;
             }
         }
         sums = next;
@@ -80,22 +80,23 @@
         .filter(|one| one.1 > 0.0)
         .collect();
     let unit = bin as f64 / 1e3;
-    let one = quantiles(&base, unit);
+    let single = quantiles(&hop_weights, unit);
     let many = f64::from(hops);
     let over =
         sorted.iter().filter(|&&(value, _)| value as f64 * unit > target).map(|&(_, weight)| weight).sum();
-    Sum {
+    ChainLatency {
         hops,
-        hop: one,
+        hop: single,
         independent: quantiles(&sorted, unit),
         together: Quantiles {
-            mean: many * one.mean,
-            p50: many * one.p50,
-            p99: many * one.p99,
-            p999: many * one.p999,
+            mean: many * single.mean,
+            p50: many * single.p50,
+            p99: many * single.p99,
+            p999: many * single.p999,
         },
-        // Some hop is over its share's quantile with at most `hops` times that share.
-        p99_bound: many * quantile(&base, 1.0 - 0.01 / many.max(1.0)) * unit,
+        // Union bound: the share of chains in which some hop is above its own quantile is at most `hops`
+        // times the share of hops above it.
+        p99_bound: many * quantile(&hop_weights, 1.0 - 0.01 / many.max(1.0)) * unit,
         over,
     }
 }
--- a/crates/lemoncleat-simulate/src/fabric.rs
+++ b/crates/lemoncleat-simulate/src/fabric.rs
@@ -1,4 +1,5 @@
-//! The simulated network as the laboratory's world sees it: its calls become commands that the simulation carries out.
+//! The simulated network as the lab's `World` uses it: each call becomes a command that the simulation
+//! carries out.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
 
 use crate::Micros;
 
-/// What the world asked for.
+/// A request from the lab's `World`.
 #[derive(Debug)]
 pub(crate) enum Command {
     Dial(SocketAddr, u64),
@@ -23,33 +24,33 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Fabric {
+pub(crate) struct SimulatedNetwork {
     pub now: Micros,
     pub commands: Vec<Command>,
-    /// Who listens where: the tag.
+    /// Listening addresses, with the tag of each listener.
     pub listeners: BTreeMap<SocketAddr, u64>,
     next_port: u16,
 }
 
-impl Fabric {
-    pub fn address(&mut self) -> SocketAddr {
+impl SimulatedNetwork {
+    pub fn next_address(&mut self) -> SocketAddr {
         self.next_port += 1;
         SocketAddr::from(([127, 0, 0, 1], 1_024 + self.next_port))
     }
 }
 
-/// The world's end of the network.
-pub(crate) struct Ends(pub Rc<RefCell<Fabric>>);
+/// The lab's end of the network.
+pub(crate) struct LabWire(pub Rc<RefCell<SimulatedNetwork>>);
 
-impl Wire for Ends {
+impl Wire for LabWire {
     fn now(&self) -> Micros {
         self.0.borrow().now
     }
 
     fn listen(&mut self, tag: u64, _: Option<Arc<ServerConfig>>) -> io::Result<SocketAddr> {
-        let mut fabric = self.0.borrow_mut();
-        let address = fabric.address();
-        fabric.listeners.insert(address, tag);
+        let mut network = self.0.borrow_mut();
+        let address = network.next_address();
+        network.listeners.insert(address, tag);
         Ok(address)
     }
 
--- a/crates/lemoncleat-simulate/src/fleet/changes.rs
+++ b/crates/lemoncleat-simulate/src/fleet/changes.rs
@@ -1,4 +1,5 @@
-//! What a seed draws of the configuration: operators' changes, who can't use them, and what they do to calls.
+//! What a seed draws of the configuration: the operators' changes, which nodes cannot use them, and how they
+//! affect calls.
 
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -9,18 +10,18 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Whose driver can't use a text.
+/// The nodes whose drivers cannot use a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unusable {
-    Nobody,
-    /// Whoever is asked first, and no other.
-    First,
+    NoNode,
+    /// The node that is asked first, and no other.
+    FirstAsked,
     /// Half of the nodes.
-    Half,
-    All,
+    HalfOfNodes,
+    AllNodes,
 }
 
-/// What a text does to the calls of a node that has it in force.
+/// Effect of a text on the calls of a node that has it in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Harm {
     None,
@@ -35,7 +36,8 @@
     pub node: usize,
     /// The same number again is the same order.
     pub number: u32,
-    /// Made on what the node has in force, or on a version that may be long gone.
+    /// Based on an earlier version, which may be long gone, rather than on the one that the node has in
+    /// force.
     pub stale: bool,
 }
 
@@ -49,7 +51,7 @@
 }
 
 impl Changes {
-    /// Draws them, and faults of the configuration's own.
+    /// Draws the changes, and adds faults of the configuration to `faults`.
     pub fn draw(seed: u64, nodes: usize, (warm, calm): (Micros, Micros), faults: &mut Vec<Fault>) -> Changes {
         let mut random = SmallRng::seed_from_u64(seed ^ 0x0063_6f6e_6669_6700);
         let mut changes = Vec::new();
@@ -62,13 +64,13 @@
             let stale = random.random_bool(0.15);
             changes.push(Change { at, node, number, stale });
             if random.random_bool(0.3) {
-                // Again at another node, at the same moment or later.
+                // The same order again at another node, at the same time or later.
                 let later = if random.random() { 0 } else { random.random_range(0..10 * SECOND) };
                 let node = random.random_range(0..nodes);
                 changes.push(Change { at: (at + later).min(calm), node, number, stale });
             }
             if random.random_bool(0.3) {
-                // Another at the same moment: one of the two is to be refused.
+                // Another change at the same time: one of the two must be refused.
                 let node = random.random_range(0..nodes);
                 changes.push(Change { at, node, number: number + 1_000, stale: false });
             }
@@ -86,52 +88,52 @@
         Changes { seed, calls, changes }
     }
 
-    /// The name of an order, and its text.
-    pub fn words(&self, number: u32) -> (String, String) {
-        let length = [40, 40, 4_000, 60_000][self.draw_of(number, 0) as usize % 4];
+    /// Returns the id of an order and its text.
+    pub fn order_text(&self, number: u32) -> (String, String) {
+        let length = [40, 40, 4_000, 60_000][self.draw_for(number, 0) as usize % 4];
         let mut text = format!("change {number} of {}", self.seed);
-        let mut random = SmallRng::seed_from_u64(self.draw_of(number, 1));
+        let mut random = SmallRng::seed_from_u64(self.draw_for(number, 1));
         while text.len() < length {
             text += &format!(" {:x}", random.random::<u64>());
         }
         (format!("change-{number}"), text)
     }
 
-    /// Who can't use it. Changes from 100,000 on are good ones.
+    /// Returns which nodes cannot use the text of a change. Every node can use changes from 100,000 on.
     pub fn unusable(&self, number: u32) -> Unusable {
-        match self.draw_of(number, 2) % 20 {
-            _ if number >= GOOD => Unusable::Nobody,
-            0..3 => Unusable::First,
-            3..5 => Unusable::Half,
-            5 => Unusable::All,
-            _ => Unusable::Nobody,
+        match self.draw_for(number, 2) % 20 {
+            _ if number >= FIRST_HARMLESS_CHANGE => Unusable::NoNode,
+            0..3 => Unusable::FirstAsked,
+            3..5 => Unusable::HalfOfNodes,
+            5 => Unusable::AllNodes,
+            _ => Unusable::NoNode,
         }
     }
 
-    /// What it does to calls.
+    /// Returns the effect of a change on calls.
     pub fn harm(&self, number: u32) -> Harm {
-        match self.draw_of(number, 3) % 10 {
-            _ if number >= GOOD => Harm::None,
+        match self.draw_for(number, 3) % 10 {
+            _ if number >= FIRST_HARMLESS_CHANGE => Harm::None,
             0 => Harm::Refused,
             1 => Harm::Lost,
             _ => Harm::None,
         }
     }
 
-    /// Whether a node is of the half that can't use it.
-    pub fn of_half(&self, number: u32, node: usize) -> bool {
-        self.draw_of(number, 16 + node as u64).is_multiple_of(2)
+    /// Whether a node belongs to the half that cannot use the change.
+    pub fn in_unusable_half(&self, number: u32, node: usize) -> bool {
+        self.draw_for(number, 16 + node as u64).is_multiple_of(2)
     }
 
-    fn draw_of(&self, number: u32, what: u64) -> u64 {
+    fn draw_for(&self, number: u32, what: u64) -> u64 {
         SmallRng::seed_from_u64(self.seed.wrapping_mul(31) ^ u64::from(number) << 24 ^ what << 1).random()
     }
 }
 
 /// Changes from this number on can be used everywhere and do no harm.
-pub(crate) const GOOD: u32 = 100_000;
+pub(crate) const FIRST_HARMLESS_CHANGE: u32 = 100_000;
 
-/// The number of the change that a text is of.
-pub(crate) fn number_of(text: &str) -> Option<u32> {
+/// Returns the number of the change that a text belongs to.
+pub(crate) fn change_number(text: &str) -> Option<u32> {
     text.strip_prefix("change ")?.split(' ').next()?.parse().ok()
 }
--- a/crates/lemoncleat-simulate/src/fleet/judge.rs
+++ b/crates/lemoncleat-simulate/src/fleet/judge.rs
@@ -1,4 +1,4 @@
-//! The laws, judged from what crosses the boundary of the parts alone.
+//! Checks the fleet's invariants using only what crosses the boundary of the parts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,38 +8,39 @@
 
 use crate::Micros;
 
-/// Marks that a node keeps: an order may be marked anew after as many others.
-const KEPT: usize = 1_000;
-/// How much younger a fact may look in calm: what its words were under way at all members it came through.
-const UNDER_WAY: Micros = 1_000_000;
+/// Marks that a node keeps: an order may be marked again after as many others.
+const MARKS_KEPT: usize = 1_000;
+/// How much younger than its true age a fact may look once the faults are over: the time that messages take
+/// through all members that relay the fact.
+const MAX_RELAY_TIME_US: Micros = 1_000_000;
 
-/// How often each law was tempted.
+/// How often each invariant was put to the test.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Marks that an operator was told of as agreed.
+    /// Marks that were reported to an operator as agreed.
     pub answered: u64,
-    /// Marks not agreed in the time that an operator waits.
+    /// Marks not agreed within the time that an operator waits.
     pub late: u64,
     /// Entries that were agreed.
     pub agreed: u64,
-    /// Entries that a node applied and another had before.
+    /// Entries that a node applied and another node had applied before.
     pub applied: u64,
-    /// Orders given while no voter could talk to a majority.
+    /// Orders given while no voter could reach a majority.
     pub without_quorum: u64,
-    /// Promises of voters that were compared with their disks.
+    /// Promises of voters that were compared with the voters' disks.
     pub promises: u64,
-    /// Facts that were looked at again.
+    /// Facts that were checked.
     pub facts: u64,
-    /// Batches that were lost or refused.
+    /// Batches that a disk lost or refused.
     pub unstored: u64,
-    /// Words that were said.
+    /// Messages that were sent.
     pub words: u64,
-    /// Their bytes.
+    /// Bytes of these messages.
     pub bytes: u64,
 }
 
 impl Counts {
-    /// Adds those of another run.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &Counts) {
         self.answered += other.answered;
         self.late += other.late;
@@ -54,99 +55,100 @@
     }
 }
 
-/// How long a fact lives, and how exactly its age is told.
-const LIFE: Micros = 60_000_000;
-const AGE_TOLD: Micros = 10_000;
+/// Lifetime of a fact, and the resolution of the age that is reported for it.
+const FACT_LIFETIME_US: Micros = 60_000_000;
+const AGE_RESOLUTION_US: Micros = 10_000;
 
-/// A law is broken, and how.
-pub(super) type Broken = Result<(), String>;
+/// Result of a check; the error says which invariant is broken and how.
+pub(super) type CheckResult = Result<(), String>;
 
-pub(super) struct Judge {
+pub(super) struct Checker {
     voters: usize,
     pub counts: Counts,
     /// When an order was first given, and its text.
-    asked: BTreeMap<String, (Micros, String)>,
+    submitted: BTreeMap<String, (Micros, String)>,
     answered: BTreeMap<String, u64>,
-    /// What was agreed, by whoever came there first.
+    /// Agreed entries by index, as shown by the first node that applied them: order and text.
     log: BTreeMap<u64, (String, String)>,
-    places: BTreeMap<String, u64>,
-    /// How far each node has come since its start.
-    seen: Vec<u64>,
-    /// When the last word of the first voter that the second has heard was said.
-    heard: BTreeMap<(usize, usize), Micros>,
-    /// What each node showed last of each other's fact: its number and age, and when by its own clock.
+    index_of: BTreeMap<String, u64>,
+    /// The index up to which each node has applied entries since its start.
+    applied: Vec<u64>,
+    /// When the last message that the second voter received from the first was sent.
+    last_heard: BTreeMap<(usize, usize), Micros>,
+    /// The last fact of each origin that each node showed: its number and age, and the node's clock time
+    /// then.
     facts: BTreeMap<(usize, usize), (u64, u64, Micros)>,
-    /// Whose starts went back: their facts' order isn't that of time.
-    went_back: BTreeSet<usize>,
+    /// Nodes whose start number went back: the order of their facts is not that of time.
+    start_went_back: BTreeSet<usize>,
 }
 
-impl Judge {
-    pub fn new(nodes: usize, voters: usize) -> Judge {
-        Judge {
+impl Checker {
+    pub fn new(nodes: usize, voters: usize) -> Checker {
+        Checker {
             voters,
             counts: Counts::default(),
-            asked: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             answered: BTreeMap::new(),
             log: BTreeMap::new(),
-            places: BTreeMap::new(),
-            seen: vec![0; nodes],
-            heard: BTreeMap::new(),
+            index_of: BTreeMap::new(),
+            applied: vec![0; nodes],
+            last_heard: BTreeMap::new(),
             facts: BTreeMap::new(),
-            went_back: BTreeSet::new(),
+            start_went_back: BTreeSet::new(),
         }
     }
 
-    pub fn asks(&mut self, now: Micros, order: &str, text: &str) {
-        self.asked.entry(order.to_owned()).or_insert_with(|| (now, text.to_owned()));
+    pub fn order_submitted(&mut self, now: Micros, order: &str, text: &str) {
+        self.submitted.entry(order.to_owned()).or_insert_with(|| (now, text.to_owned()));
     }
 
-    pub fn started(&mut self, node: usize, back: bool) {
-        self.seen[node] = 0;
+    pub fn node_started(&mut self, node: usize, back: bool) {
+        self.applied[node] = 0;
         self.facts.retain(|(observer, _), _| *observer != node);
         if back {
-            self.went_back.insert(node);
+            self.start_went_back.insert(node);
         }
     }
 
-    /// A voter heard what another said at a time.
-    pub fn hears(&mut self, from: usize, to: usize, said: Micros) {
+    /// Records that a voter received a message that another sent at `sent_at`.
+    pub fn message_received(&mut self, from: usize, to: usize, sent_at: Micros) {
         if from < self.voters && to < self.voters {
-            self.heard.insert((from, to), said);
+            self.last_heard.insert((from, to), sent_at);
         }
     }
 
-    /// How far the node has come: marks after this are to be read.
-    pub fn seen(&self, node: usize) -> u64 {
-        self.seen[node]
+    /// Returns the index up to which the node has applied entries: later marks are to be read.
+    pub fn applied_index(&self, node: usize) -> u64 {
+        self.applied[node]
     }
 
-    /// The furthest that any node has come.
-    pub fn furthest(&self) -> u64 {
+    /// Returns the highest index that any node has applied.
+    pub fn highest_index(&self) -> u64 {
         self.log.last_key_value().map_or(0, |(index, _)| *index)
     }
 
-    /// What the node shows after that.
-    pub fn marks(&mut self, node: usize, shown: &Value) -> Broken {
+    /// Checks the marks that the node shows after its applied index.
+    pub fn check_marks(&mut self, node: usize, shown: &Value) -> CheckResult {
         let upto = shown["index"].as_u64().unwrap_or(0);
-        let after = self.seen[node];
+        let after = self.applied[node];
         if upto == after {
             return Ok(());
         }
         if upto < after {
             return Err(format!("node {node} went back from entry {after} to {upto}"));
         }
-        self.seen[node] = upto;
+        self.applied[node] = upto;
         let marks = shown["marks"].as_array().map(Vec::as_slice).unwrap_or_default();
         let mut first = after + 1;
         for mark in marks {
             let index = mark["index"].as_u64().unwrap_or(0);
-            let told = |field: &str| mark[field].as_str().unwrap_or("").to_owned();
-            let (order, text) = (told("order"), told("text"));
+            let text_of = |field: &str| mark[field].as_str().unwrap_or("").to_owned();
+            let (order, text) = (text_of("order"), text_of("text"));
             if index < first || index > upto {
                 return Err(format!("node {node} shows {order} at {index}, out of order"));
             }
-            // Those that a node has already forgotten are not shown.
-            let forgotten = marks.len() >= KEPT && first == after + 1;
+            // Marks that the node has already dropped are not shown.
+            let forgotten = marks.len() >= MARKS_KEPT && first == after + 1;
             if let (Some((missed, what)), false) = (self.log.range(first..index).next(), forgotten) {
                 return Err(format!("node {node} lacks {what:?} at {missed}"));
             }
@@ -154,7 +156,7 @@
             match self.log.get(&index) {
                 Some(known) if *known == (order.clone(), text.clone()) => self.counts.applied += 1,
                 Some(known) => return Err(format!("node {node} shows {order} at {index}, others {known:?}")),
-                None => self.agreed(node, index, order, text)?,
+                None => self.check_new_entry(node, index, order, text)?,
             }
         }
         match self.log.range(first..upto + 1).next() {
@@ -163,23 +165,23 @@
         }
     }
 
-    fn agreed(&mut self, node: usize, index: u64, order: String, text: String) -> Broken {
-        let Some((since, asked)) = self.asked.get(&order) else {
+    fn check_new_entry(&mut self, node: usize, index: u64, order: String, text: String) -> CheckResult {
+        let Some((since, submitted)) = self.submitted.get(&order) else {
             return Err(format!("{order} at {index} of node {node} was asked for by nobody"));
         };
-        if *asked != text {
+        if *submitted != text {
             return Err(format!("{order} at {index} of node {node} has another text: {text}"));
         }
-        if index < self.furthest() && self.log.range(index..).count() < KEPT {
+        if index < self.highest_index() && self.log.range(index..).count() < MARKS_KEPT {
             return Err(format!("{order} at {index} of node {node}, others came past that without it"));
         }
-        if let Some(before) = self.places.insert(order.clone(), index) {
-            if self.log.range(before..).count() < KEPT {
+        if let Some(before) = self.index_of.insert(order.clone(), index) {
+            if self.log.range(before..).count() < MARKS_KEPT {
                 return Err(format!("{order} stands at {before} and at {index}"));
             }
         }
         let since = *since;
-        if !self.quorum(since) {
+        if !self.had_quorum(since) {
             return Err(format!("{order} was agreed at {index} of node {node} without a quorum"));
         }
         self.counts.agreed += 1;
@@ -187,16 +189,19 @@
         Ok(())
     }
 
-    /// To be agreed, it was said by one voter to a majority, and they answered, since it was asked for.
-    pub fn quorum(&self, since: Micros) -> bool {
-        let talked = |a: usize, b: usize| self.heard.get(&(a, b)).is_some_and(|said| *said >= since);
-        let reaches =
-            |voter: usize| (0..self.voters).filter(|to| talked(voter, *to) && talked(*to, voter)).count();
+    /// Whether an entry requested at `since` can have been agreed: since then one voter must have sent
+    /// messages to a majority and received answers.
+    pub fn had_quorum(&self, since: Micros) -> bool {
+        let heard_since =
+            |a: usize, b: usize| self.last_heard.get(&(a, b)).is_some_and(|sent_at| *sent_at >= since);
+        let reaches = |voter: usize| {
+            (0..self.voters).filter(|to| heard_since(voter, *to) && heard_since(*to, voter)).count()
+        };
         (0..self.voters).any(|voter| reaches(voter) >= self.voters / 2)
     }
 
-    /// A node answered an operator; its marks were read before.
-    pub fn answer(&mut self, node: usize, answer: &Value) -> Broken {
+    /// Checks a node's answer to an operator; the node's marks are read before.
+    pub fn check_answer(&mut self, node: usize, answer: &Value) -> CheckResult {
         let order = answer["order"].as_str().unwrap_or("");
         let Some(index) = answer["index"].as_u64().filter(|_| answer["ok"] == true) else {
             self.counts.late += 1;
@@ -207,22 +212,22 @@
             return Err(format!("node {node} answers that {order} stands at {index}: it does not"));
         }
         match self.answered.insert(order.to_owned(), index) {
-            Some(before) if before != index && self.log.range(before..).count() < KEPT => {
+            Some(before) if before != index && self.log.range(before..).count() < MARKS_KEPT => {
                 Err(format!("{order} was answered with {before} and with {index}"))
             }
             _ => Ok(()),
         }
     }
 
-    /// What a node shows of the members. The figure `calls` of each is the time at which it was set out; since when
-    /// words are only as long under way as the links are long, if they are.
-    pub fn members(
+    /// Checks the members that a node shows. The figure `calls` of each fact is the time at which the fact
+    /// was sent out. From `calm` on, messages take only as long as the links' delay.
+    pub fn check_members(
         &mut self,
         now: Micros,
         (node, local): (usize, Micros),
         shown: &Value,
         calm: Option<Micros>,
-    ) -> Broken {
+    ) -> CheckResult {
         for (origin, member) in shown["members"].as_array().into_iter().flatten().enumerate() {
             let origin =
                 member["host"].as_str().and_then(|host| host.get(1..)?.parse().ok()).unwrap_or(origin);
@@ -231,66 +236,81 @@
             };
             self.counts.facts += 1;
             if let Some((known, known_age, then)) = self.facts.insert((node, origin), (calls, age, local)) {
-                if calls < known && !self.went_back.contains(&origin) {
+                if calls < known && !self.start_went_back.contains(&origin) {
                     return Err(format!("node {node} had a fact of {origin} of {known}, now one of {calls}"));
                 }
-                // A clock that jumped or ran fast ends a fact's life early; it may be learned again, and is younger.
-                let lived = known_age as Micros * 1_000 + (local - then) + AGE_TOLD < LIFE;
-                if calls == known && age < known_age && lived {
+                // A clock that jumped or ran fast ends a fact's life early; the fact may be learned again,
+                // and is younger then.
+                let within_lifetime =
+                    known_age as Micros * 1_000 + (local - then) + AGE_RESOLUTION_US < FACT_LIFETIME_US;
+                if calls == known && age < known_age && within_lifetime {
                     return Err(format!(
                         "the fact of {origin} at node {node} got younger: {known_age}, {age} ms"
                     ));
                 }
             }
-            let (out, age) = (calls as Micros, age as Micros * 1_000);
-            if calm.is_some_and(|calm| out > calm) && age + UNDER_WAY < now - out {
+            let (sent_out, age) = (calls as Micros, age as Micros * 1_000);
+            if calm.is_some_and(|calm| sent_out > calm) && age + MAX_RELAY_TIME_US < now - sent_out {
                 return Err(format!(
                     "node {node} shows a fact of {origin} as {age} us old: it is {} us",
-                    now - out
+                    now - sent_out
                 ));
             }
         }
         Ok(())
     }
 
-    /// A word of a voter: what it promises must be on its disk by now. `number` gives each place's number in the log.
-    pub fn promise(&mut self, node: usize, to: u64, own: u64, word: &[u8], disk: &Found) -> Broken {
-        let Some(said) = engine_word(word) else { return Ok(()) };
+    /// Checks a voter's message: what it promises must already be on its disk. `to` and `own` are the voters'
+    /// numbers in the log.
+    pub fn check_promise(
+        &mut self,
+        node: usize,
+        to: u64,
+        own: u64,
+        bytes: &[u8],
+        disk: &Found,
+    ) -> CheckResult {
+        let Some(message) = parse_engine_message(bytes) else { return Ok(()) };
         self.counts.promises += 1;
         let promise = disk.promise;
         let last = disk.entries.last().map_or(disk.trimmed.index, |entry| entry.at.index);
         let wrong = |what: &str| {
-            Err(format!("node {node} {what} in term {}, its disk has {promise:?}, last {last}", said.term))
+            Err(format!("node {node} {what} in term {}, its disk has {promise:?}, last {last}", message.term))
         };
-        let asks_first = matches!(said.kind, Kind::RequestPreVote | Kind::RequestPreVoteResponse);
-        if said.term > promise.term && !asks_first {
+        let asks_first = matches!(
+            message.kind,
+            EngineMessageKind::RequestPreVote | EngineMessageKind::RequestPreVoteResponse
+        );
+        if message.term > promise.term && !asks_first {
             return wrong("speaks");
         }
-        if said.term < promise.term || said.reject {
+        if message.term < promise.term || message.reject {
             return Ok(());
         }
-        match said.kind {
-            Kind::RequestVoteResponse if promise.vote != to => wrong("gives a vote"),
-            Kind::RequestVote if promise.vote != own => wrong("seeks votes"),
-            Kind::AppendResponse if said.index > last => wrong(&format!("has entries to {}", said.index)),
+        match message.kind {
+            EngineMessageKind::RequestVoteResponse if promise.vote != to => wrong("grants a vote"),
+            EngineMessageKind::RequestVote if promise.vote != own => wrong("requests votes"),
+            EngineMessageKind::AppendResponse if message.index > last => {
+                wrong(&format!("acknowledges entries up to {}", message.index))
+            }
             _ => Ok(()),
         }
     }
 }
 
-// ---- Words, as far as they are read: the judge's own account of their form ----
+// ---- The message format as far as it is read, decoded independently of the cores ----
 
 #[derive(Deserialize)]
 #[allow(dead_code)]
 struct Header {
     from: u32,
     incarnation: (u32, u32),
-    you: Option<(Held, (u32, u32))>,
+    you: Option<(MemberState, (u32, u32))>,
 }
 
 #[derive(Deserialize)]
 #[allow(dead_code)]
-enum Held {
+enum MemberState {
     Alive,
     Suspect,
     Gone,
@@ -301,13 +321,13 @@
 enum Envelope {
     Ask,
     Answer(u64, bool),
-    Engine(Said),
+    Engine(EngineMessage),
 }
 
 #[derive(Deserialize)]
 #[allow(dead_code)]
-struct Said {
-    kind: Kind,
+struct EngineMessage {
+    kind: EngineMessageKind,
     term: u64,
     log_term: u64,
     index: u64,
@@ -321,7 +341,7 @@
 
 #[derive(Clone, Copy, Deserialize)]
 #[allow(dead_code)]
-enum Kind {
+enum EngineMessageKind {
     Propose,
     Append,
     AppendResponse,
@@ -334,33 +354,34 @@
     RequestPreVoteResponse,
 }
 
-/// The number of the body that carries another core's bytes, and of the errand that is the agreement's.
-const DIRECT: u32 = 9;
-const AGREEMENT: u32 = 0;
+/// Number of the message body that carries another core's bytes, and of the payload kind that belongs to the
+/// agreement.
+const BODY_DIRECT: u32 = 9;
+const KIND_AGREEMENT: u32 = 0;
 
-/// The errand that is the configuration's, and of its words the one that carries a part of a text.
-const CONFIGURATION: u32 = 4;
-const CHUNK: u32 = 4;
+/// Payload kind of the configuration, and the number of its message that carries a chunk of a text.
+const KIND_CONFIGURATION: u32 = 4;
+const CONFIGURATION_CHUNK: u32 = 4;
 
-/// Where in a word the last byte of a text's part is, if it carries one.
-pub(super) fn chunk_end(word: &[u8]) -> Option<usize> {
-    let (_, rest) = postcard::take_from_bytes::<Header>(word).ok()?;
+/// Returns the position of the last byte of a text's chunk in a message, if the message carries one.
+pub(super) fn chunk_end(message: &[u8]) -> Option<usize> {
+    let (_, rest) = postcard::take_from_bytes::<Header>(message).ok()?;
     let (body, rest) = postcard::take_from_bytes::<u32>(rest).ok()?;
-    let (errand, after) = postcard::take_from_bytes::<&[u8]>(rest).ok().filter(|_| body == DIRECT)?;
-    let (kind, rest) = postcard::take_from_bytes::<u32>(errand).ok()?;
-    let bytes = postcard::from_bytes::<&[u8]>(rest).ok().filter(|_| kind == CONFIGURATION)?;
-    let (said, _) = postcard::take_from_bytes::<u32>(bytes).ok()?;
-    (said == CHUNK).then(|| word.len() - after.len() - 1)
+    let (payload, after) = postcard::take_from_bytes::<&[u8]>(rest).ok().filter(|_| body == BODY_DIRECT)?;
+    let (kind, rest) = postcard::take_from_bytes::<u32>(payload).ok()?;
+    let bytes = postcard::from_bytes::<&[u8]>(rest).ok().filter(|_| kind == KIND_CONFIGURATION)?;
+    let (message_kind, _) = postcard::take_from_bytes::<u32>(bytes).ok()?;
+    (message_kind == CONFIGURATION_CHUNK).then(|| message.len() - after.len() - 1)
 }
 
-fn engine_word(word: &[u8]) -> Option<Said> {
-    let (_, rest) = postcard::take_from_bytes::<Header>(word).ok()?;
+fn parse_engine_message(encoded: &[u8]) -> Option<EngineMessage> {
+    let (_, rest) = postcard::take_from_bytes::<Header>(encoded).ok()?;
     let (body, rest) = postcard::take_from_bytes::<u32>(rest).ok()?;
-    let (errand, _) = postcard::take_from_bytes::<&[u8]>(rest).ok().filter(|_| body == DIRECT)?;
-    let (kind, rest) = postcard::take_from_bytes::<u32>(errand).ok()?;
-    let bytes = postcard::from_bytes::<&[u8]>(rest).ok().filter(|_| kind == AGREEMENT)?;
+    let (payload, _) = postcard::take_from_bytes::<&[u8]>(rest).ok().filter(|_| body == BODY_DIRECT)?;
+    let (kind, rest) = postcard::take_from_bytes::<u32>(payload).ok()?;
+    let bytes = postcard::from_bytes::<&[u8]>(rest).ok().filter(|_| kind == KIND_AGREEMENT)?;
     match postcard::from_bytes::<(u64, Envelope)>(bytes).ok()? {
-        (_, Envelope::Engine(said)) => Some(said),
+        (_, Envelope::Engine(message)) => Some(message),
         _ => None,
     }
 }
--- a/crates/lemoncleat-simulate/src/fleet/links.rs
+++ b/crates/lemoncleat-simulate/src/fleet/links.rs
@@ -1,42 +1,42 @@
-//! Connections between nodes as their carrier gives them: in order within one, lost with it, held while a way is cut.
+//! Connections between nodes: in order within one, lost with it, held back while a way is cut.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Micros;
 
-/// What comes along a connection.
+/// An item on its way along a connection.
 #[derive(Clone, Debug)]
 pub(super) enum Item {
     Open,
-    Word { said: Micros, bytes: Vec<u8> },
+    Message { sent_at: Micros, bytes: Vec<u8> },
     Close,
 }
 
-/// A connection; its sides are the one that dialled and the other.
+/// A connection; side 0 is the node that dialled, side 1 the other.
 pub(super) struct Conn {
     pub ends: [usize; 2],
-    /// What comes to each side, and when.
-    pub pipes: [VecDeque<(Micros, Item)>; 2],
-    /// The side's node holds it for linked.
+    /// Items on their way to each side, with their arrival times.
+    pub queues: [VecDeque<(Micros, Item)>; 2],
+    /// Whether the side's node takes the connection as linked.
     pub linked: [bool; 2],
-    /// The side has given it up.
+    /// Whether the side has given the connection up.
     pub lost: [bool; 2],
     pub closing: bool,
 }
 
 impl Conn {
     pub fn new(ends: [usize; 2]) -> Conn {
-        Conn { ends, pipes: Default::default(), linked: [false; 2], lost: [false; 2], closing: false }
+        Conn { ends, queues: Default::default(), linked: [false; 2], lost: [false; 2], closing: false }
     }
 
     pub fn side(&self, node: usize) -> usize {
         usize::from(self.ends[1] == node)
     }
 
-    /// Puts something on its way to a side; it overtakes nothing. When it is due.
-    pub fn put(&mut self, side: usize, due: Micros, item: Item) -> Micros {
-        let due = self.pipes[side].back().map_or(due, |(last, _)| due.max(*last));
-        self.pipes[side].push_back((due, item));
+    /// Queues an item for a side and returns its arrival time; it never overtakes an earlier item.
+    pub fn enqueue(&mut self, side: usize, due: Micros, item: Item) -> Micros {
+        let due = self.queues[side].back().map_or(due, |(last, _)| due.max(*last));
+        self.queues[side].push_back((due, item));
         due
     }
 }
@@ -67,7 +67,7 @@
         }
     }
 
-    pub fn of(&self, node: usize) -> Vec<u64> {
+    pub fn of_node(&self, node: usize) -> Vec<u64> {
         self.conns.iter().filter(|(_, conn)| conn.ends.contains(&node)).map(|(id, _)| *id).collect()
     }
 }
--- a/crates/lemoncleat-simulate/src/fleet/versions.rs
+++ b/crates/lemoncleat-simulate/src/fleet/versions.rs
@@ -1,74 +1,76 @@
-//! The laws of the configuration, judged from what the parts say to their drivers and tell operators.
+//! Checks the invariants of the configuration, from what the parts send to their drivers and report to
+//! operators.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemoncleat_fleet::MemberId;
 use serde_json::Value;
 
-use super::changes::number_of;
-use super::judge::Broken;
+use super::changes::change_number;
+use super::judge::CheckResult;
 use crate::Micros;
 
-/// From a change's step, or from when all can talk again, until it is in force at all or taken back.
-pub(super) const BOUND: Micros = 10_000_000;
-/// Until a node that starts has decided what is in force.
-const START: Micros = 10_000_000;
+/// Longest time from a change's step, or from when all nodes are connected again, until the change is in
+/// force everywhere or taken back.
+pub(super) const CONVERGENCE_LIMIT_US: Micros = 10_000_000;
+/// Longest time from a node's start until it has decided which version is in force.
+const START_LIMIT_US: Micros = 10_000_000;
 
 /// A version, as it was first seen.
-struct Known {
+struct VersionRecord {
     text: String,
     order: String,
-    /// The one that it was made on.
+    /// The version that this one was made on.
     parent: u64,
     canaries: BTreeSet<usize>,
     refused: BTreeSet<usize>,
     in_force: BTreeSet<usize>,
-    /// When it was first seen at a node that is no canary.
+    /// When the version was first seen at a node that is not a canary.
     for_all: Option<Micros>,
-    /// Since when a canary that all could hear has refused it or lost calls by it.
+    /// Since when a canary, connected to all nodes, has refused the version or lost calls by it.
     objection: Option<Micros>,
 }
 
 #[derive(Clone, Copy, Default)]
-struct Life {
-    begun: Option<Micros>,
+struct NodeRun {
+    started_at: Option<Micros>,
     settled: bool,
     disturbed: bool,
     step: u64,
     in_force: u64,
-    /// The step at which it was put in force, and that of the last try.
-    since: u64,
-    tried: u64,
+    /// The step at which that version was put in force, and that of the last try.
+    in_force_step: u64,
+    last_try_step: u64,
 }
 
-/// What a step means to all.
-type Meaning = (u64, String);
+/// The newest version and the phase at a step; the same at all nodes.
+type StepMeaning = (u64, String);
 
-/// How often the laws of the configuration were tempted.
+/// How often the invariants of the configuration were put to the test.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionCounts {
     /// Changes that were agreed.
     pub agreed: u64,
-    /// Changes that were refused, and why is told.
+    /// Changes that were refused with a reason.
     pub refused: u64,
-    /// Versions that came in force at all that could use them.
+    /// Versions that came in force at all nodes that could use them.
     pub for_all: u64,
-    /// Versions that a canary objected to while all could hear it.
+    /// Versions that a canary objected to while connected to all nodes.
     pub objections: u64,
     /// Versions that were taken back.
     pub taken_back: u64,
-    /// Starts that decided on what is in force.
+    /// Starts that decided which version is in force.
     pub starts: u64,
     /// Copies that were torn or lost.
     pub copies_lost: u64,
-    /// Chunks of texts that were made wrong on their way.
+    /// Chunks of texts that were corrupted on their way.
     pub wrong_chunks: u64,
-    /// The longest time from a step until all had its version, after the last fault, in microseconds.
+    /// The longest time from a step until all nodes had its version, after the last fault, in microseconds.
     pub slowest: Micros,
 }
 
 impl VersionCounts {
-    /// Adds those of another run.
+    /// Adds the counts of another run.
     pub fn add(&mut self, other: &VersionCounts) {
         self.agreed += other.agreed;
         self.refused += other.refused;
@@ -82,40 +84,41 @@
     }
 }
 
-/// Judges the configuration of a run.
-pub(super) struct Versions {
-    /// Each node's number in the fleet, and its zone.
+/// Checks the configuration of a run.
+pub(super) struct VersionChecker {
+    /// Each node's member id in the fleet, and its zone.
     nodes: Vec<(u32, usize)>,
     pub counts: VersionCounts,
     /// When an order was first given, the version that it was made on, and its text.
-    asked: BTreeMap<String, (Micros, u64, String)>,
+    submitted: BTreeMap<String, (Micros, u64, String)>,
     answers: BTreeMap<String, Result<u64, String>>,
-    known: BTreeMap<u64, Known>,
-    steps: BTreeMap<u64, Meaning>,
-    lives: Vec<Life>,
+    known: BTreeMap<u64, VersionRecord>,
+    steps: BTreeMap<u64, StepMeaning>,
+    runs: Vec<NodeRun>,
     /// The last step, and when it was first seen.
-    pub last: (u64, Micros),
+    pub last_step: (u64, Micros),
 }
 
-impl Versions {
-    pub fn new(names: &[&str], zones: usize) -> Versions {
-        Versions {
+impl VersionChecker {
+    pub fn new(names: &[&str], zones: usize) -> VersionChecker {
+        VersionChecker {
             nodes: names
                 .iter()
                 .enumerate()
                 .map(|(place, name)| (MemberId::of(name).0, place % zones))
                 .collect(),
             counts: VersionCounts::default(),
-            asked: BTreeMap::new(),
+            submitted: BTreeMap::new(),
             answers: BTreeMap::new(),
             known: BTreeMap::new(),
             steps: BTreeMap::new(),
-            lives: vec![Life::default(); names.len()],
-            last: (0, 0),
+            runs: vec![NodeRun::default(); names.len()],
+            last_step: (0, 0),
         }
     }
 
-    /// The first two of each zone in the order of the digest of trial and member; at most half of all.
+    /// Returns the canaries of a text: the first two nodes of each zone in the order of the digest of trial
+    /// and member; at most half of all nodes.
     fn canaries(&self, text: &str) -> BTreeSet<usize> {
         let digest = blake3::hash(text.as_bytes());
         let mut ordered: Vec<([u8; 32], usize)> = self
@@ -139,64 +142,67 @@
         ordered.into_iter().map(|(_, place)| place).collect()
     }
 
-    pub fn asks(&mut self, now: Micros, order: &str, parent: u64, text: &str) -> u64 {
-        self.asked.entry(order.to_owned()).or_insert_with(|| (now, parent, text.to_owned())).1
+    pub fn order_submitted(&mut self, now: Micros, order: &str, parent: u64, text: &str) -> u64 {
+        self.submitted.entry(order.to_owned()).or_insert_with(|| (now, parent, text.to_owned())).1
     }
 
-    /// Since when a text has been asked for.
-    pub fn asked_since(&self, text: &str) -> Option<Micros> {
-        let order = format!("change-{}", number_of(text)?);
-        self.asked.get(&order).filter(|(.., asked)| asked == text).map(|(since, ..)| *since)
+    /// Returns when the order with this text was first given.
+    pub fn submitted_at(&self, text: &str) -> Option<Micros> {
+        let order = format!("change-{}", change_number(text)?);
+        self.submitted.get(&order).filter(|(.., submitted)| submitted == text).map(|(since, ..)| *since)
     }
 
-    pub fn started(&mut self, now: Micros, node: usize) {
-        self.lives[node] = Life { begun: Some(now), ..Life::default() };
+    pub fn node_started(&mut self, now: Micros, node: usize) {
+        self.runs[node] = NodeRun { started_at: Some(now), ..NodeRun::default() };
     }
 
-    pub fn ended(&mut self, node: usize) {
-        self.lives[node] = Life::default();
+    pub fn node_stopped(&mut self, node: usize) {
+        self.runs[node] = NodeRun::default();
     }
 
-    /// The node had no turn or another clock for a while: how long its start takes is not judged.
-    pub fn disturbed(&mut self, node: usize) {
-        self.lives[node].disturbed = true;
+    /// Excludes the node's start from the check of start times: it was paused or had another clock for a
+    /// while.
+    pub fn mark_disturbed(&mut self, node: usize) {
+        self.runs[node].disturbed = true;
     }
 
-    pub fn settled(&mut self, node: usize) -> Broken {
+    pub fn check_settled(&mut self, node: usize) -> CheckResult {
         self.counts.starts += 1;
-        match std::mem::replace(&mut self.lives[node].settled, true) {
-            true => Err(format!("node {node} decides twice on what is in force at its start")),
+        match std::mem::replace(&mut self.runs[node].settled, true) {
+            true => Err(format!("node {node} decides twice at its start which version is in force")),
             false => Ok(()),
         }
     }
 
-    /// Whether starts take no longer than they may.
-    pub fn starts(&self, now: Micros) -> Broken {
-        let late = |life: &Life| {
-            !life.settled && !life.disturbed && life.begun.is_some_and(|begun| begun + START < now)
+    /// Checks that nodes decide in time after their starts which version is in force.
+    pub fn check_start_times(&self, now: Micros) -> CheckResult {
+        let late = |run: &NodeRun| {
+            !run.settled
+                && !run.disturbed
+                && run.started_at.is_some_and(|started_at| started_at + START_LIMIT_US < now)
         };
-        match self.lives.iter().position(late) {
+        match self.runs.iter().position(late) {
             Some(node) => {
-                Err(format!("node {node} has not decided on what is in force 10 s after its start"))
+                Err(format!("node {node} has not decided which version is in force 10 s after its start"))
             }
             None => Ok(()),
         }
     }
 
-    /// A node is asked to put a text in force; it can, or can't. `quiet`: since when
-    /// nothing was wrong anywhere, and all could talk.
-    pub fn tried(
+    /// Checks a request to a node to put a text in force; `usable` says whether it can. `quiet` is since when
+    /// there has been no fault and all nodes have been connected.
+    pub fn check_trial(
         &mut self,
         now: Micros,
         node: usize,
         (number, text): (u64, &str),
         usable: bool,
         quiet: Option<Micros>,
-    ) -> Broken {
-        if self.lives[node].begun.is_none() {
+    ) -> CheckResult {
+        if self.runs[node].started_at.is_none() {
             return Err(format!("node {node} puts version {number} in force and does not run"));
         }
-        self.lives[node].tried = self.lives[node].step;
+        self.runs[node].last_try_step = self.runs[node].step;
         if number == 0 {
             return if text.is_empty() {
                 Ok(())
@@ -204,11 +210,11 @@
                 Err(format!("node {node} has a text of version 0"))
             };
         }
-        let order = number_of(text).map(|change| format!("change-{change}")).unwrap_or_default();
-        let Some((_, parent, asked)) = self.asked.get(&order) else {
+        let order = change_number(text).map(|change| format!("change-{change}")).unwrap_or_default();
+        let Some((_, parent, submitted)) = self.submitted.get(&order) else {
             return Err(format!("version {number} at node {node} was asked for by nobody"));
         };
-        if asked != text {
+        if submitted != text {
             return Err(format!("version {number} at node {node} is not what {order} says"));
         }
         if let Some(Err(why)) = self.answers.get(&order) {
@@ -220,12 +226,14 @@
             if let Some((before, _)) = self.known.iter().find(|(_, known)| known.order == order) {
                 return Err(format!("{order} is version {before} and version {number}"));
             }
-            // Whatever a change was made on is for all, though no other node may have come to it yet.
+            // The version that a change was made on is for all nodes, even if no other node has been seen
+            // with it yet.
             if parent != 0 {
-                self.for_all(now, parent, quiet).map_err(|why| format!("{why}: {number} was made on it"))?;
+                self.check_for_all(now, parent, quiet)
+                    .map_err(|why| format!("{why}: {number} was made on it"))?;
             }
             self.counts.agreed += 1;
-            let known = Known {
+            let known = VersionRecord {
                 text: text.to_owned(),
                 order,
                 parent,
@@ -242,7 +250,9 @@
             return Err(format!("two texts under number {number}: another at node {node}"));
         }
         if !known.canaries.contains(&node) {
-            return self.for_all(now, number, quiet).map_err(|why| format!("{why}: it is at node {node}"));
+            return self
+                .check_for_all(now, number, quiet)
+                .map_err(|why| format!("{why}: it is at node {node}"));
         }
         if usable {
             known.in_force.insert(node);
@@ -256,8 +266,8 @@
         Ok(())
     }
 
-    /// A version is seen past its canaries.
-    fn for_all(&mut self, now: Micros, number: u64, quiet: Option<Micros>) -> Broken {
+    /// Checks a version that is seen at a node that is not a canary.
+    fn check_for_all(&mut self, now: Micros, number: u64, quiet: Option<Micros>) -> CheckResult {
         let Some(known) = self.known.get_mut(&number) else {
             return Err(format!("version {number} is for all, and no canary has tried it"));
         };
@@ -280,7 +290,7 @@
             return Err(format!("version {number} is past its canaries {after:.1} s after an objection"));
         }
         let parent = known.parent;
-        let rival = |(other, rival): &(&u64, &Known)| {
+        let rival = |(other, rival): &(&u64, &VersionRecord)| {
             **other != number && rival.parent == parent && rival.for_all.is_some()
         };
         match self.known.iter().find(rival) {
@@ -291,8 +301,9 @@
         }
     }
 
-    /// Calls are refused or lost by this version at enough canaries for the difference to be seen, before it is for all.
-    pub fn harms(&mut self, now: Micros, number: u64) {
+    /// Records that a version refuses or loses calls at enough canaries for the difference to be seen, before
+    /// it is for all nodes.
+    pub fn calls_harmed(&mut self, now: Micros, number: u64) {
         if let Some(known) = self.known.get_mut(&number) {
             if known.for_all.is_none()
                 && known.objection.is_none()
@@ -304,12 +315,12 @@
         }
     }
 
-    /// An operator is answered.
-    pub fn answer(&mut self, node: usize, answer: &Value) -> Broken {
+    /// Checks a node's answer to an operator.
+    pub fn check_answer(&mut self, node: usize, answer: &Value) -> CheckResult {
         let order = answer["order"].as_str().unwrap_or("");
         let told = match (answer["number"].as_u64(), answer["error"].as_str()) {
             (Some(number), _) if answer["ok"] == true => Ok(number),
-            // That may still be agreed.
+            // Such a change may still be agreed.
             (_, Some(error)) if error.starts_with("not agreed in time") => return Ok(()),
             (_, error) => Err(error.unwrap_or("").to_owned()),
         };
@@ -319,8 +330,8 @@
                 return Err(format!("{order} was answered {before:?}, and {told:?} at node {node}"));
             }
         }
-        let Some((.., text)) = self.asked.get(order) else {
-            return Err(format!("node {node} answers {order}, which nobody gave"));
+        let Some((.., text)) = self.submitted.get(order) else {
+            return Err(format!("node {node} answers {order}, which was never given"));
         };
         match told {
             Ok(number) => match self.known.get(&number) {
@@ -336,26 +347,26 @@
         }
     }
 
-    /// What a node tells of itself.
-    pub fn status(&mut self, now: Micros, node: usize, status: &Value) -> Broken {
-        let of = |field: &str| status[field].as_u64().unwrap_or(0);
-        let (step, in_force, newest) = (of("step"), of("in_force"), of("newest"));
+    /// Checks the status that a node reports.
+    pub fn check_status(&mut self, now: Micros, node: usize, status: &Value) -> CheckResult {
+        let field_of = |field: &str| status[field].as_u64().unwrap_or(0);
+        let (step, in_force, newest) = (field_of("step"), field_of("in_force"), field_of("newest"));
         let phase = status["phase"].as_str().unwrap_or("");
-        let life = &mut self.lives[node];
-        if step < life.step {
-            return Err(format!("node {node} went back from step {} to {step}", life.step));
+        let run = &mut self.runs[node];
+        if step < run.step {
+            return Err(format!("node {node} went back from step {} to {step}", run.step));
         }
-        if in_force != life.in_force {
-            if in_force < life.in_force && life.tried <= life.since {
-                let (before, since) = (life.in_force, life.since);
+        if in_force != run.in_force {
+            if in_force < run.in_force && run.last_try_step <= run.in_force_step {
+                let (before, since) = (run.in_force, run.in_force_step);
                 return Err(format!(
                     "node {node} went back from version {before} to {in_force} at step {}, not above {since}",
-                    life.tried
+                    run.last_try_step
                 ));
             }
-            life.since = life.tried;
+            run.in_force_step = run.last_try_step;
         }
-        (life.step, life.in_force) = (step, in_force);
+        (run.step, run.in_force) = (step, in_force);
         if step == 0 {
             return Ok(());
         }
@@ -377,10 +388,11 @@
                         ));
                     }
                 }
-                // The bound counts from a trial's begin to the last node.
+                // The bound counts from the beginning of a trial to the last node.
                 let ends = self.steps.last_key_value().is_some_and(|(_, (_, phase))| phase == "trial");
-                if step > self.last.0 {
-                    self.last = (step, if ends && meaning.1 != "trial" { self.last.1 } else { now });
+                if step > self.last_step.0 {
+                    self.last_step =
+                        (step, if ends && meaning.1 != "trial" { self.last_step.1 } else { now });
                 }
                 self.steps.insert(step, meaning);
                 Ok(())
@@ -388,12 +400,12 @@
         }
     }
 
-    /// What is for all by the last step, and whether a trial is under way.
+    /// Returns the newest version as of the last step, and whether it is under trial.
     pub fn newest(&self) -> (u64, bool) {
         self.steps.last_key_value().map_or((0, false), |(_, (newest, phase))| (*newest, phase == "trial"))
     }
 
-    /// The text of a version.
+    /// Returns the text of a version.
     pub fn text(&self, number: u64) -> Option<&str> {
         self.known.get(&number).map(|known| known.text.as_str())
     }
--- a/crates/lemoncleat-simulate/src/node.rs
+++ b/crates/lemoncleat-simulate/src/node.rs
@@ -1,4 +1,4 @@
-//! An access node in the simulation: its real core, and the driver's part played under the virtual clock.
+//! An access node in the simulation: its real core, driven under the virtual clock.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,7 +12,7 @@
 
 use crate::Micros;
 
-/// What happens to a node.
+/// An event at a node.
 #[derive(Debug)]
 pub(crate) enum NodeEvent {
     Accepted(u64),
@@ -35,14 +35,14 @@
     }
 }
 
-/// How the world reaches a node: stalls wait here for the simulation.
-pub(crate) struct Handle {
+/// The lab's control of a node: stalls are queued here for the simulation.
+pub(crate) struct NodeHandle {
     pub address: SocketAddr,
     pub number: usize,
     pub stalls: Arc<Mutex<Vec<(usize, Micros)>>>,
 }
 
-impl NodeControl for Handle {
+impl NodeControl for NodeHandle {
     fn address(&self) -> SocketAddr {
         self.address
     }
@@ -67,18 +67,18 @@
     pub core: Node,
     pub address: SocketAddr,
     pub feed: Option<SocketAddr>,
-    /// The connection of its feed, and what came on it short of a line.
+    /// The connection of its feed, and the bytes received on it that do not make up a line yet.
     pub feed_conn: Option<u64>,
-    feed_rest: Vec<u8>,
+    partial_line: Vec<u8>,
     gap: Micros,
-    /// Since when it gets no turn, and until when.
-    away: Option<(Micros, Micros)>,
+    /// Beginning and end of a stall.
+    stalled: Option<(Micros, Micros)>,
     inbox: Vec<NodeEvent>,
     pub out: Vec<Output>,
 }
 
 impl SimNode {
-    /// A node with the settings that an operator would write.
+    /// Creates a node from a settings text as an operator would write it.
     pub fn new(text: &str, address: SocketAddr) -> Result<SimNode, String> {
         let config = read_config(text).map_err(|error| error.in_file("settings"))?;
         let seed = config.service.seed.unwrap_or(1);
@@ -89,30 +89,30 @@
             address,
             feed: config.service.feed,
             feed_conn: None,
-            feed_rest: Vec::new(),
+            partial_line: Vec::new(),
             gap,
-            away: None,
+            stalled: None,
             inbox: Vec::new(),
             out: Vec::new(),
         })
     }
 
-    /// When it wants a turn.
+    /// Returns the time of the next turn.
     pub fn wake(&self) -> Option<Micros> {
-        match self.away {
+        match self.stalled {
             Some((_, until)) => Some(until),
             None => self.core.wake(),
         }
     }
 
-    /// It gets no turn for a while; one that begins during another lengthens it.
+    /// Stalls the node for a while; a stall that begins during another extends it.
     pub fn stall(&mut self, now: Micros, time: Micros) {
-        let (since, until) = self.away.unwrap_or((now, now));
-        self.away = Some((since, until.max(now + time)));
+        let (since, until) = self.stalled.unwrap_or((now, now));
+        self.stalled = Some((since, until.max(now + time)));
     }
 
     pub fn event(&mut self, now: Micros, event: NodeEvent) {
-        match self.away {
+        match self.stalled {
             Some(_) => self.inbox.push(event),
             None => self.handle(now, event),
         }
@@ -130,48 +130,48 @@
         self.core.handle(now, input, &mut self.out);
     }
 
-    /// Time has passed. After a stall it reads its backlog, met in whatever order its connections come up, as its
-    /// driver would.
+    /// Gives the node a turn. After a stall it reads its backlog in random order of the connections, as its
+    /// driver would read whichever socket is ready first.
     pub fn turn(&mut self, now: Micros, rng: &mut SmallRng) {
-        let Some((since, until)) = self.away else {
+        let Some((since, until)) = self.stalled else {
             return self.core.handle(now, Input::Timeout, &mut self.out);
         };
         if now < until {
             return;
         }
-        self.away = None;
-        let long = now - since > self.gap;
-        if long {
+        self.stalled = None;
+        let beyond_gap = now - since > self.gap;
+        if beyond_gap {
             self.core.handle(now, Input::Away(since), &mut self.out);
         }
-        for event in shuffled(std::mem::take(&mut self.inbox), rng) {
+        for event in shuffle_connections(std::mem::take(&mut self.inbox), rng) {
             self.handle(now, event);
         }
-        let last = if long { Input::CaughtUp } else { Input::Timeout };
+        let last = if beyond_gap { Input::CaughtUp } else { Input::Timeout };
         self.core.handle(now, last, &mut self.out);
     }
 
-    /// Bytes of the feed: whole lines are news of the list.
+    /// Takes bytes of the feed and returns the list news in its complete lines.
     pub fn feed_bytes(&mut self, bytes: &[u8]) -> Vec<ListNews> {
-        self.feed_rest.extend_from_slice(bytes);
+        self.partial_line.extend_from_slice(bytes);
         let mut news = Vec::new();
-        while let Some(end) = self.feed_rest.iter().position(|byte| *byte == b'\n') {
-            let line: Vec<u8> = self.feed_rest.drain(..=end).collect();
+        while let Some(end) = self.partial_line.iter().position(|byte| *byte == b'\n') {
+            let line: Vec<u8> = self.partial_line.drain(..=end).collect();
             let line = String::from_utf8_lossy(&line);
             news.extend(parse_line(line.trim_end()).map(|line| line.news));
         }
         news
     }
 
-    /// The feed's connection is gone, with what it left unfinished.
+    /// Drops the feed's connection and its incomplete line.
     pub fn feed_closed(&mut self) {
         self.feed_conn = None;
-        self.feed_rest.clear();
+        self.partial_line.clear();
     }
 }
 
-/// Connections in any order, each in its own.
-fn shuffled(events: Vec<NodeEvent>, rng: &mut SmallRng) -> Vec<NodeEvent> {
+/// Shuffles the order of connections; events of one connection keep their order.
+fn shuffle_connections(events: Vec<NodeEvent>, rng: &mut SmallRng) -> Vec<NodeEvent> {
     let mut order: Vec<Option<u64>> = events.iter().map(NodeEvent::conn).collect();
     order.shuffle(rng);
     let mut left: Vec<Option<NodeEvent>> = events.into_iter().map(Some).collect();
--- a/crates/lemoncleat-simulate/src/scenario.rs
+++ b/crates/lemoncleat-simulate/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What a seed draws: fleet, traffic, troubles and faults of links.
+//! What a seed draws: fleet, traffic, troubles and link faults.
 
 use lemoncleat_lab::{
     CallerDay, CircuitDay, ClassDay, Day, ListDay, ProcessorDay, ServerDay, Trouble, TroubleKind,
@@ -10,64 +10,64 @@
 
 use crate::Micros;
 
-/// The far end of a node's link.
+/// The links of a node, by what is at the far end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Side {
     /// Its connections with servers.
     Servers,
     /// Its connections with front-ends.
     Fronts,
-    /// The list's feed.
+    /// The feed of the server list.
     Feed,
 }
 
-/// What befalls a link.
+/// Kinds of link fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkFaultKind {
-    /// Nothing arrives in either direction until the end; then all of it does.
+    /// Nothing arrives in either direction until the end; then everything held back arrives.
     Held,
-    /// Nothing arrives at the node.
+    /// Nothing arrives at the node until the end.
     HeldToNode,
-    /// Nothing arrives from the node.
+    /// Nothing arrives from the node until the end.
     HeldFromNode,
     /// Nothing arrives in either direction, and at the end the connections are reset.
     Lost,
-    /// The connections are reset at the beginning; new ones may come about at once.
+    /// The connections are reset at the beginning; new ones may be opened at once.
     Reset,
-    /// Everything takes longer by up to a fifth of a second.
+    /// Everything takes up to 200 ms longer.
     Slow,
 }
 
 /// A fault of a node's links of one side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkFault {
-    /// From the day's beginning on, in microseconds.
+    /// Beginning, in microseconds from the beginning of the day.
     pub from: Micros,
-    /// Until then.
+    /// End.
     pub until: Micros,
-    /// Which node.
+    /// Node that it concerns.
     pub node: u16,
-    /// Which of its links.
+    /// Links that it concerns.
     pub side: Side,
-    /// What.
+    /// Kind of the fault.
     pub kind: LinkFaultKind,
 }
 
 /// A run to play.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// The seed that it was drawn from, and of all that is random in its course.
+    /// Seed that the scenario was drawn from, and of everything random in the run.
     pub seed: u64,
     /// Fleet, traffic and troubles.
     pub day: Day,
-    /// Faults of links.
+    /// Link faults.
     pub links: Vec<LinkFault>,
-    /// The usual time of a message on its way, and how much longer it may take.
+    /// Least time that a message takes, and how much longer it may take.
     pub delay: (Micros, Micros),
 }
 
 /// Kinds of trouble that a seed may draw, with their weights.
-const KINDS: [(TroubleKind, u32); 13] = [
+const TROUBLE_KINDS: [(TroubleKind, u32); 13] = [
     (TroubleKind::Surge, 2),
     (TroubleKind::Crash, 3),
     (TroubleKind::Hang, 3),
@@ -83,7 +83,7 @@
     (TroubleKind::Rehandshake, 3),
 ];
 
-const LINK_KINDS: [LinkFaultKind; 6] = [
+const LINK_FAULT_KINDS: [LinkFaultKind; 6] = [
     LinkFaultKind::Held,
     LinkFaultKind::HeldToNode,
     LinkFaultKind::HeldFromNode,
@@ -93,8 +93,8 @@
 ];
 
 impl Scenario {
-    /// What a seed draws. Each kind of trouble is switched on or off for the whole run, so that rare pairs meet in
-    /// some runs rather than all kinds in each.
+    /// Draws the scenario of a seed. Each kind of trouble is on or off for the whole run, so that some runs
+    /// have rare pairs of kinds, instead of every run having all kinds.
     pub fn draw(seed: u64) -> Scenario {
         let mut rng = SmallRng::seed_from_u64(seed ^ 0x5ced_a210);
         let nodes: u16 = rng.random_range(1..=3);
@@ -154,12 +154,13 @@
                 meets: rng.random_range(0.0..0.4),
             });
         }
-        let on: Vec<(TroubleKind, u32)> = KINDS.into_iter().filter(|_| rng.random_bool(0.5)).collect();
-        let total: u32 = on.iter().map(|(_, weight)| weight).sum();
+        let enabled: Vec<(TroubleKind, u32)> =
+            TROUBLE_KINDS.into_iter().filter(|_| rng.random_bool(0.5)).collect();
+        let total: u32 = enabled.iter().map(|(_, weight)| weight).sum();
         if total > 0 {
             for _ in 0..rng.random_range(1..=8) {
                 let mut pick = rng.random_range(0..total);
-                let kind = on.iter().find(|(_, weight)| {
+                let kind = enabled.iter().find(|(_, weight)| {
                     let found = pick < *weight;
                     pick = pick.saturating_sub(*weight);
                     found
@@ -178,7 +179,7 @@
                     until: from + rng.random_range(50_000..4_000_000),
                     node: rng.random_range(0..nodes),
                     side: [Side::Servers, Side::Fronts, Side::Feed][rng.random_range(0..3)],
-                    kind: LINK_KINDS[rng.random_range(0..LINK_KINDS.len())],
+                    kind: LINK_FAULT_KINDS[rng.random_range(0..LINK_FAULT_KINDS.len())],
                 });
             }
         }
@@ -186,7 +187,7 @@
         Scenario { seed, day, links, delay }
     }
 
-    /// A day as it stands, on links of a millisecond without faults.
+    /// Returns a scenario for a given day, with link delays of about a millisecond and no link faults.
     pub fn of_day(day: Day) -> Scenario {
         Scenario { seed: day.seed, day, links: Vec::new(), delay: (1_000, 200) }
     }
@@ -222,7 +223,7 @@
         }
         _ => (0..count).filter(|_| rng.random_bool(0.4)).collect(),
     };
-    // None would stand for all of them.
+    // An empty list would stand for all servers.
     let on = if on.is_empty() { vec![rng.random_range(0..count)] } else { on };
     Trouble {
         kind,
--- a/crates/lemoncleat-simulate/src/shrink.rs
+++ b/crates/lemoncleat-simulate/src/shrink.rs
@@ -1,56 +1,57 @@
-//! Smaller scenarios that show the same: troubles, faults of links, servers' trunk groups and calls are left out one
-//! after another while the finding stays what it was.
+//! Shrinks scenarios: leaves out troubles, link faults, circuits and calls one after another while the kind
+//! of the finding stays the same.
 
 use lemoncleat_settings::{Rate, Span};
 
 use crate::scenario::Scenario;
 use crate::simulation::simulate;
 
-/// The smallest scenario found that comes to a finding of the same kind, and how many runs it took.
-pub fn shrink(scenario: &Scenario, most: u32) -> (Scenario, u32) {
+/// Returns the smallest scenario found whose finding is of the same kind, and the number of runs taken, at
+/// most `max_runs`.
+pub fn shrink(scenario: &Scenario, max_runs: u32) -> (Scenario, u32) {
     let kind =
         |scenario: &Scenario| simulate(scenario, None).ok()?.finding.map(|(_, finding)| finding.kind());
     let (mut best, mut runs) = (scenario.clone(), 1);
-    let Some(wanted) = kind(&best) else { return (best, runs) };
+    let Some(wanted_kind) = kind(&best) else { return (best, runs) };
     loop {
         let before = runs;
-        let mut smaller = false;
+        let mut shrunk = false;
         for candidate in candidates(&best) {
-            if runs >= most {
+            if runs >= max_runs {
                 return (best, runs);
             }
             runs += 1;
-            if kind(&candidate).as_ref() == Some(&wanted) {
+            if kind(&candidate).as_ref() == Some(&wanted_kind) {
                 best = candidate;
-                smaller = true;
+                shrunk = true;
                 break;
             }
         }
-        if !smaller || runs == before {
+        if !shrunk || runs == before {
             return (best, runs);
         }
     }
 }
 
-/// The scenario with one thing less, the larger steps first.
+/// Returns the scenarios with one thing less, the largest reductions first.
 fn candidates(scenario: &Scenario) -> Vec<Scenario> {
     let mut all = Vec::new();
     for index in 0..scenario.day.troubles.len() {
-        let mut less = scenario.clone();
-        less.day.troubles.remove(index);
-        all.push(less);
+        let mut reduced = scenario.clone();
+        reduced.day.troubles.remove(index);
+        all.push(reduced);
     }
     for index in 0..scenario.links.len() {
-        let mut less = scenario.clone();
-        less.links.remove(index);
-        all.push(less);
+        let mut reduced = scenario.clone();
+        reduced.links.remove(index);
+        all.push(reduced);
     }
     if scenario.day.circuits.is_some() {
-        let mut less = scenario.clone();
-        less.day.circuits = None;
-        all.push(less);
+        let mut reduced = scenario.clone();
+        reduced.day.circuits = None;
+        all.push(reduced);
     }
-    let halves = |scenario: &Scenario| {
+    let reductions = |scenario: &Scenario| {
         let mut shorter = scenario.clone();
         shorter.day.length = Span(scenario.day.length.0 * 3 / 4);
         let mut fewer = scenario.clone();
@@ -58,7 +59,7 @@
         [shorter, fewer]
     };
     if scenario.day.length.0 > 1_000_000 && scenario.day.rate.0 > 1.0 {
-        all.extend(halves(scenario));
+        all.extend(reductions(scenario));
     }
     all
 }
--- a/crates/lemoncleat-simulate/tests/chain.rs
+++ b/crates/lemoncleat-simulate/tests/chain.rs
@@ -1,9 +1,9 @@
 //! Chains of services under the virtual clock.
 
-use lemoncleat_simulate::chain::{play, sum, Failing, Outcome, Part, Plan, Upward, VARIANTS};
+use lemoncleat_simulate::chain::{chain_latency, play, Failing, Outcome, Part, Plan, UpwardAnswer, VARIANTS};
 
-fn short(seed: u64, depth: usize, name: &str) -> Plan {
-    let variant = VARIANTS.into_iter().find(|one| one.name == name).expect("a variant of that name");
+fn short_plan(seed: u64, depth: usize, name: &str) -> Plan {
+    let variant = VARIANTS.into_iter().find(|one| one.name == name).expect("no variant of that name");
     Plan {
         servers: 3,
         rate: 60.0,
@@ -16,60 +16,66 @@
     }
 }
 
-fn kept(plan: &Plan) -> Outcome {
-    let outcome = play(plan).expect("usable settings");
+fn play_and_check(plan: &Plan) -> Outcome {
+    let outcome = play(plan).expect("settings rejected");
     assert_eq!(outcome.broken, None, "{plan:?}");
     for span in &outcome.spans {
         assert!(span.entered > 0);
-        assert_eq!(span.entered, span.stood + span.failed, "one answer for each call, in time: {plan:?}");
+        assert_eq!(span.entered, span.stood + span.failed, "not one answer for each call in time: {plan:?}");
     }
     outcome
 }
 
 #[test]
-fn a_seed_plays_the_same_run_each_time_and_another_seed_another() {
-    let digest = |seed| kept(&short(seed, 4, "4")).digest;
+fn equal_seeds_give_equal_runs_and_different_seeds_different_runs() {
+    let digest = |seed| play_and_check(&short_plan(seed, 4, "4")).digest;
     assert_eq!(digest(1), digest(1));
     assert_ne!(digest(1), digest(2));
 }
 
 #[test]
-fn each_call_has_one_answer_in_time_whatever_fails_and_however_nodes_are_set() {
+fn each_call_has_one_answer_in_time_for_every_variant_and_failure() {
     for variant in VARIANTS {
         for how in [Failing::Error, Failing::Silence, Failing::Refusal] {
             for part in [Part::Servers, Part::SetUps] {
                 let fails = if part == Part::Servers { 1.0 } else { 0.5 };
-                let outcome = kept(&Plan { how, part, fails, ..short(3, 3, variant.name) });
-                assert!(outcome.spans[0].share() > 0.9, "all is well before: {variant:?} {how:?}");
+                let outcome = play_and_check(&Plan { how, part, fails, ..short_plan(3, 3, variant.name) });
+                assert!(
+                    outcome.spans[0].share() > 0.9,
+                    "calls fail before the failure begins: {variant:?} {how:?}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn nothing_begins_after_the_callers_deadline_where_the_time_left_is_handed_down() {
+fn no_attempt_begins_after_the_callers_deadline_when_the_time_left_is_handed_down() {
     for variant in VARIANTS.iter().filter(|variant| variant.handed_down) {
-        let outcome = kept(&Plan { how: Failing::Silence, ..short(5, 5, variant.name) });
+        let outcome = play_and_check(&Plan { how: Failing::Silence, ..short_plan(5, 5, variant.name) });
         assert_eq!(outcome.spans.iter().map(|span| span.late).sum::<u64>(), 0, "{variant:?}");
     }
 }
 
 #[test]
-fn a_failure_marked_as_tried_is_repeated_by_the_level_next_to_it_alone() {
+fn a_failure_marked_as_tried_is_repeated_only_by_the_adjacent_level() {
     for (name, most) in [("4", f64::INFINITY), ("4-tried", 4.0)] {
-        let outcome = kept(&short(7, 4, name));
+        let outcome = play_and_check(&short_plan(7, 4, name));
         let while_failing = &outcome.spans[1];
         let bottom = while_failing.amplification(3);
         assert!(bottom <= most, "{name}: {bottom}");
-        if VARIANTS.iter().any(|one| one.name == name && one.upward == Upward::Tried) {
+        if VARIANTS.iter().any(|one| one.name == name && one.upward == UpwardAnswer::Tried) {
             assert!(while_failing.amplification(0) < 1.5, "{name}: {while_failing:?}");
         }
     }
 }
 
 #[test]
-fn the_sum_of_two_hops_is_their_convolution() {
-    let sum = sum(&[(1_000, 1), (3_000, 1)], 2, 1_000, 5.0);
-    assert_eq!((sum.independent.mean, sum.independent.p50, sum.independent.p99), (4.0, 4.0, 6.0));
-    assert_eq!((sum.together.p50, sum.together.p99, sum.p99_bound, sum.over), (2.0, 6.0, 6.0, 0.25));
+fn latency_of_two_independent_hops_is_their_convolution() {
+    let latency = chain_latency(&[(1_000, 1), (3_000, 1)], 2, 1_000, 5.0);
+    assert_eq!((latency.independent.mean, latency.independent.p50, latency.independent.p99), (4.0, 4.0, 6.0));
+    assert_eq!(
+        (latency.together.p50, latency.together.p99, latency.p99_bound, latency.over),
+        (2.0, 6.0, 6.0, 0.25)
+    );
 }
