--- a/crates/lemoncleat-simulate/src/fleet/run.rs
+++ b/crates/lemoncleat-simulate/src/fleet/run.rs
@@ -160,7 +160,7 @@
     }
 
     /// Adds the calls since the last update at `rate` calls a second. One in a hundred is refused and one in
-    /// a hundred is lost; half of them with a harmful configuration text.
+    /// a hundred is lost; a harmful configuration text causes half of the calls to be refused, or lost.
     fn advance(&mut self, now: Micros, rate: u64) -> Calls {
         let added = (now - self.updated_at) as u64 * rate;
         self.updated_at = now;
@@ -321,7 +321,7 @@
         }
     }
 
-    /// Adds bytes to the run's digest: FNV-1a over all events.
+    /// Adds the time and `bytes` to the run's digest, an FNV-1a hash.
     fn digest(&mut self, bytes: &[u8]) {
         for byte in self.now.to_le_bytes().iter().chain(bytes) {
             self.digest = (self.digest ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
