--- a/crates/lemoncleat-zones/src/evidence.rs
+++ b/crates/lemoncleat-zones/src/evidence.rs
@@ -1,81 +1,84 @@
-//! What one node saw of each zone lately, and what all of it comes to.
+//! The set-up outcomes that a node recently observed in each zone, and their sums.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Micros, Step, What, ZoneId};
+use crate::{Micros, Outcome, Step, ZoneId};
 
-/// No fact is longer.
-pub const FACT_BYTES: usize = 160;
+/// Maximum size of an encoded fact, in bytes.
+pub const MAX_FACT_BYTES: usize = 160;
 
-/// What a node saw of a zone: in the last window, or since the step that last changed the zone.
+/// The outcomes that a node observed in a zone: within the last window, or since the step that last changed
+/// the zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
-    /// The zone's place in the settings' list.
+pub struct ZoneCounts {
+    /// The zone's index in the settings' list.
     pub zone: u16,
     /// Set-ups sent.
     pub sent: u16,
-    /// Answered.
+    /// Set-ups that were answered.
     pub answered: u16,
-    /// Not answered in time.
-    pub silent: u16,
-    /// Ended with their connection.
+    /// Set-ups that were not answered before the time-out.
+    pub timed_out: u16,
+    /// Set-ups whose connection ended before an answer arrived.
     pub reset: u16,
-    /// Without a connection to go by.
+    /// Set-ups for which no connection was available.
     pub unreachable: u16,
-    /// Turned away for want of room.
+    /// Set-ups that the server refused because it was full.
     pub refused: u16,
-    /// Mean wait of those answered, in milliseconds.
+    /// Mean wait of the answered set-ups, in milliseconds.
     pub wait: u16,
-    /// Worth of those sent, summed over all classes.
+    /// Worth of the set-ups sent, summed over all classes.
     pub worth: u32,
-    /// Cost of those sent.
+    /// Cost of the set-ups sent.
     pub cost: u32,
-    /// The servers at which any failed: a bit for each by its place in the zone's list, folded at 16.
-    pub failed: u16,
+    /// Bit mask of the servers at which any set-up failed: one bit for each server's index in the zone's
+    /// list, modulo 16.
+    pub failed_servers: u16,
 }
 
-impl Seen {
-    /// Set-ups that failed as they do when a zone fails.
-    pub fn bad(&self) -> u32 {
-        u32::from(self.silent) + u32::from(self.reset) + u32::from(self.unreachable)
+impl ZoneCounts {
+    /// Set-ups that failed in a way that indicates a zone failure: timed out, reset or unreachable.
+    pub fn failures(&self) -> u32 {
+        u32::from(self.timed_out) + u32::from(self.reset) + u32::from(self.unreachable)
     }
 
-    /// Set-ups that got as far as a verdict. One refused for want of room shows a living server.
+    /// Set-ups with a known outcome. A set-up refused because the server was full counts as one that a live
+    /// server responded to.
     pub fn settled(&self) -> u32 {
-        self.bad() + self.alive()
+        self.failures() + self.responded()
     }
 
-    pub(crate) fn alive(&self) -> u32 {
+    pub(crate) fn responded(&self) -> u32 {
         u32::from(self.answered) + u32::from(self.refused)
     }
 
-    fn count(&mut self, server: u16, what: What, waited: Micros, (worth, cost): (u32, u32)) {
-        let more = |count: &mut u16| *count = count.saturating_add(1);
-        match what {
-            What::Sent => {
-                more(&mut self.sent);
+    fn record(&mut self, server: u16, outcome: Outcome, waited: Micros, (worth, cost): (u32, u32)) {
+        let increment = |count: &mut u16| *count = count.saturating_add(1);
+        match outcome {
+            Outcome::Sent => {
+                increment(&mut self.sent);
                 self.worth = self.worth.saturating_add(worth);
                 self.cost = self.cost.saturating_add(cost);
             }
-            What::Answered => {
+            Outcome::Answered => {
                 let ms = waited.clamp(0, 60_000_000) / 1000;
                 let total = i64::from(self.wait) * i64::from(self.answered) + ms;
-                more(&mut self.answered);
+                increment(&mut self.answered);
                 self.wait = (total / i64::from(self.answered)).min(60_000) as u16;
             }
-            What::Silent => more(&mut self.silent),
-            What::Reset => more(&mut self.reset),
-            What::Unreachable => more(&mut self.unreachable),
-            What::Refused => more(&mut self.refused),
+            Outcome::TimedOut => increment(&mut self.timed_out),
+            Outcome::Reset => increment(&mut self.reset),
+            Outcome::Unreachable => increment(&mut self.unreachable),
+            Outcome::Refused => increment(&mut self.refused),
         }
-        if matches!(what, What::Silent | What::Reset | What::Unreachable) {
-            self.failed |= 1 << (server % 16);
+        if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Unreachable) {
+            self.failed_servers |= 1 << (server % 16);
         }
     }
 
-    fn add(&mut self, other: &Seen) {
+    fn add(&mut self, other: &ZoneCounts) {
         let answered = u32::from(self.answered) + u32::from(other.answered);
         if answered > 0 {
             let total = u64::from(self.wait) * u64::from(self.answered)
@@ -84,70 +87,79 @@
         }
         self.sent = self.sent.saturating_add(other.sent);
         self.answered = self.answered.saturating_add(other.answered);
-        self.silent = self.silent.saturating_add(other.silent);
+        self.timed_out = self.timed_out.saturating_add(other.timed_out);
         self.reset = self.reset.saturating_add(other.reset);
         self.unreachable = self.unreachable.saturating_add(other.unreachable);
         self.refused = self.refused.saturating_add(other.refused);
         self.worth = self.worth.saturating_add(other.worth);
         self.cost = self.cost.saturating_add(other.cost);
-        self.failed |= other.failed;
+        self.failed_servers |= other.failed_servers;
     }
 }
 
-/// What a node publishes.
+/// The fact that a node publishes to the other members.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fact {
-    /// The step that holds at the node. It spreads with the facts.
+    /// The step in force at the node. Steps spread with the facts.
     pub step: Step,
-    /// How long the counts cover, in milliseconds.
+    /// Length of time that the counts cover, in milliseconds.
     pub span: u16,
-    /// What it saw, of each zone at which anything happened.
-    pub seen: Vec<Seen>,
+    /// The counts of each zone in which any outcome was observed.
+    pub counts: Vec<ZoneCounts>,
 }
 
 impl Fact {
-    /// The fact as bytes, at most [`FACT_BYTES`] of them. Zones that don't fit are left out, those with least
-    /// failures first: what is not said can only keep the fleet where it is.
+    /// Encodes the fact in at most [`MAX_FACT_BYTES`] bytes. Zones that do not fit are left out, those with
+    /// the fewest failures first: missing evidence can only keep the fleet in its present state.
     pub fn encode(mut self) -> Vec<u8> {
-        self.seen
-            .sort_by_key(|seen| (std::cmp::Reverse(seen.bad()), std::cmp::Reverse(seen.sent), seen.zone));
+        self.counts.sort_by_key(|counts| {
+            (std::cmp::Reverse(counts.failures()), std::cmp::Reverse(counts.sent), counts.zone)
+        });
         loop {
             let bytes = postcard::to_allocvec(&self).unwrap_or_default();
-            if bytes.len() <= FACT_BYTES || self.seen.pop().is_none() {
+            if bytes.len() <= MAX_FACT_BYTES || self.counts.pop().is_none() {
                 return bytes;
             }
         }
     }
 
-    /// The fact that bytes hold, if they hold one.
+    /// Decodes a fact; `None` if the bytes are too long or malformed.
     pub fn decode(bytes: &[u8]) -> Option<Fact> {
-        if bytes.len() > FACT_BYTES {
+        if bytes.len() > MAX_FACT_BYTES {
             return None;
         }
         postcard::from_bytes(bytes).ok()
     }
 
-    pub(crate) fn of(&self, zone: ZoneId) -> Option<&Seen> {
-        self.seen.iter().find(|seen| seen.zone == zone.0)
+    pub(crate) fn for_zone(&self, zone: ZoneId) -> Option<&ZoneCounts> {
+        self.counts.iter().find(|counts| counts.zone == zone.0)
     }
 }
 
-/// What this node saw of one zone, in slices of a tick.
+/// The outcomes that this node observed in one zone, in slices of one check interval.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Ring {
-    slices: VecDeque<(Micros, Seen)>,
+pub(crate) struct RecentOutcomes {
+    slices: VecDeque<(Micros, ZoneCounts)>,
 }
 
-impl Ring {
-    /// Counts an outcome in the slice that began at `start`.
-    pub(crate) fn count(&mut self, start: Micros, server: u16, what: What, waited: Micros, pay: (u32, u32)) {
+impl RecentOutcomes {
+    /// Records an outcome in the slice that began at `start`.
+    pub(crate) fn record(
+        &mut self,
+        start: Micros,
+        server: u16,
+        outcome: Outcome,
+        waited: Micros,
+        worth_and_cost: (u32, u32),
+    ) {
         match self.slices.back_mut() {
-            Some((at, seen)) if *at >= start => seen.count(server, what, waited, pay),
+            Some((at, counts)) if *at >= start => counts.record(server, outcome, waited, worth_and_cost),
             _ => {
-                let mut seen = Seen::default();
-                seen.count(server, what, waited, pay);
-                self.slices.push_back((start, seen));
-                // A zone under way keeps all since its step: old slices are joined, not dropped.
+                let mut counts = ZoneCounts::default();
+                counts.record(server, outcome, waited, worth_and_cost);
+                self.slices.push_back((start, counts));
+                // A zone that is being left or restored keeps all outcomes since its step: old slices are
+                // merged, not dropped.
                 if self.slices.len() > 64 {
                     if let (Some((_, first)), Some((_, second))) =
                         (self.slices.pop_front(), self.slices.front_mut())
@@ -159,8 +171,8 @@
         }
     }
 
-    pub(crate) fn forget_before(&mut self, moment: Micros) {
-        while self.slices.front().is_some_and(|(at, _)| *at < moment) {
+    pub(crate) fn drop_before(&mut self, limit: Micros) {
+        while self.slices.front().is_some_and(|(at, _)| *at < limit) {
             self.slices.pop_front();
         }
     }
@@ -169,61 +181,61 @@
         self.slices.clear();
     }
 
-    pub(crate) fn sum(&self, zone: u16) -> Seen {
-        let mut sum = Seen { zone, ..Seen::default() };
-        for (_, seen) in &self.slices {
-            sum.add(seen);
+    pub(crate) fn sum(&self, zone: u16) -> ZoneCounts {
+        let mut sum = ZoneCounts { zone, ..ZoneCounts::default() };
+        for (_, counts) in &self.slices {
+            sum.add(counts);
         }
         sum
     }
 }
 
-/// What a set of nodes saw of a zone.
+/// The sum of what a set of nodes observed in a zone.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Sum {
+pub(crate) struct EvidenceSum {
     pub sent: f64,
-    pub alive: f64,
-    pub bad: f64,
+    pub responded: f64,
+    pub failures: f64,
     pub refused: f64,
     pub answered: f64,
     pub wait: f64,
     pub worth: f64,
     pub cost: f64,
-    pub failed: u16,
-    /// Nodes at which any set-up failed, and nodes at which any got a verdict.
-    pub witnesses: u32,
-    pub judges: u32,
+    pub failed_servers: u16,
+    /// Nodes at which at least a quarter of the settled set-ups failed, and nodes that settled any set-up.
+    pub failing_nodes: u32,
+    pub reporting_nodes: u32,
 }
 
-impl Sum {
-    pub(crate) fn add(&mut self, seen: &Seen) {
-        self.sent += f64::from(seen.sent);
-        self.alive += f64::from(seen.alive());
-        self.bad += f64::from(seen.bad());
-        self.refused += f64::from(seen.refused);
-        self.answered += f64::from(seen.answered);
-        self.wait += f64::from(seen.wait) * f64::from(seen.answered);
-        self.worth += f64::from(seen.worth);
-        self.cost += f64::from(seen.cost);
-        self.failed |= seen.failed;
-        self.witnesses += u32::from(4 * seen.bad() >= seen.settled().max(1));
-        self.judges += u32::from(seen.settled() > 0);
+impl EvidenceSum {
+    pub(crate) fn add(&mut self, counts: &ZoneCounts) {
+        self.sent += f64::from(counts.sent);
+        self.responded += f64::from(counts.responded());
+        self.failures += f64::from(counts.failures());
+        self.refused += f64::from(counts.refused);
+        self.answered += f64::from(counts.answered);
+        self.wait += f64::from(counts.wait) * f64::from(counts.answered);
+        self.worth += f64::from(counts.worth);
+        self.cost += f64::from(counts.cost);
+        self.failed_servers |= counts.failed_servers;
+        self.failing_nodes += u32::from(4 * counts.failures() >= counts.settled().max(1));
+        self.reporting_nodes += u32::from(counts.settled() > 0);
     }
 
     pub(crate) fn settled(&self) -> f64 {
-        self.alive + self.bad
+        self.responded + self.failures
     }
 
-    /// Share of the settled set-ups that found a living server; 1 where there is nothing to say.
-    pub(crate) fn chance(&self) -> f64 {
+    /// Share of the settled set-ups that a live server responded to; 1 if there are none.
+    pub(crate) fn success_rate(&self) -> f64 {
         if self.settled() > 0.0 {
-            self.alive / self.settled()
+            self.responded / self.settled()
         } else {
             1.0
         }
     }
 
-    /// Mean wait in milliseconds.
+    /// Mean wait of the answered set-ups, in milliseconds.
     pub(crate) fn mean_wait(&self) -> f64 {
         if self.answered > 0.0 {
             self.wait / self.answered
--- a/crates/lemoncleat-zones/src/lib.rs
+++ b/crates/lemoncleat-zones/src/lib.rs
@@ -1,12 +1,15 @@
-//! Leaving a failing zone as a fleet and coming back, without I/O.
+//! Decides as a fleet when to leave a failing zone and how to return to it. The crate does no I/O.
 //!
-//! Each node says in a small fact what it saw of each zone of servers in the last second. [`Zones`] sums the facts,
-//! asks whether the zone's calls would earn clearly more at the rest of the servers, at the load that they bring
-//! there, and if so puts a numbered [`Step`] to the fleet. A step holds the whole table of zones that are not as
-//! usual, so a node that missed some has all it needs in the newest. Coming back is a row of further steps.
+//! Each node publishes a small fact with the outcomes of its set-ups in each zone of servers during the last
+//! second. [`Zones`] sums the facts and estimates whether the zone's calls would earn clearly more at the
+//! remaining servers, taking into account the load that they would add there. If so, it proposes a numbered
+//! [`Step`] to the fleet. A step holds the whole table of zones that are not in their normal state, so a node
+//! that missed some steps is up to date with the newest one. The return to a zone is a series of further
+//! steps.
 //!
-//! Without a quorum of evidence, or on the evidence of nodes of one zone alone, nothing is put to the fleet. What a
-//! node is told here only ever takes calls away from a zone: it chooses as before among the rest.
+//! Nothing is proposed without a quorum of evidence, or on the evidence of nodes of one zone alone. The
+//! outputs of this crate only ever take calls away from a zone: the node distributes them among the remaining
+//! zones as before.
 
 mod decide;
 mod evidence;
@@ -15,65 +18,66 @@
 mod worth;
 mod zones;
 
-pub use evidence::{Fact, Seen, FACT_BYTES};
+pub use evidence::{Fact, ZoneCounts, MAX_FACT_BYTES};
 #[cfg(feature = "faults")]
 pub use settings::Plant;
 pub use settings::Settings;
-pub use step::{Entry, Phase, Step, MOST_ENTRIES};
+pub use step::{Entry, Phase, Step, MAX_ENTRIES};
 pub use zones::Zones;
 
-/// Microseconds, of a monotonic clock or as a span.
+/// A time on a monotonic clock or a duration, in microseconds.
 pub type Micros = i64;
 
-/// A zone, by its place in the settings' list, the same at all nodes.
+/// A zone, identified by its index in the settings' list, which is the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 pub struct ZoneId(pub u16);
 
-/// What became of a set-up.
+/// The outcome of a set-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
-    /// It was sent; one of the others follows.
+pub enum Outcome {
+    /// The set-up was sent; one of the other outcomes follows.
     Sent,
-    /// It was answered. A refusal for the call's own reasons is an answer.
+    /// The set-up was answered. A refusal for reasons of the call itself is an answer.
     Answered,
-    /// Nothing came before the time-out.
-    Silent,
-    /// The connection ended under it.
+    /// No answer arrived before the time-out.
+    TimedOut,
+    /// The connection ended before an answer arrived.
     Reset,
-    /// No connection could be had.
+    /// No connection was available.
     Unreachable,
-    /// The server had no room. It is load, and no failure.
+    /// The server was full. This indicates load and is not a failure.
     Refused,
 }
 
-/// A server of a zone, as the lists of the deployment have it.
+/// A server of a zone, as given in the deployment's server lists.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Server {
-    /// Set-ups a second that it takes when warm; 0 where nobody knows.
+    /// Set-ups per second that it can take when warm; 0 if unknown.
     pub capacity: f64,
-    /// When it started, on this node's clock.
+    /// Time at which it started, on this node's clock.
     pub started: Micros,
 }
 
-/// What a node tells the core.
+/// Input from the node to the core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A set-up was sent to a zone, or something became of one.
+    /// A set-up was sent to a zone, or its outcome is known.
     Outcome {
         /// The server's zone.
         zone: ZoneId,
-        /// The server's place in its zone's list.
+        /// The server's index in its zone's list.
         server: u16,
-        /// What happened.
-        what: What,
-        /// How long ago the set-up was sent. One sent before a step says nothing of what the zone does after it.
+        /// The outcome.
+        outcome: Outcome,
+        /// Time since the set-up was sent. A set-up sent before a step is no evidence of the zone's state
+        /// after it.
         waited: Micros,
-        /// What the call earns if it comes about, in units of the settings; counted when sent.
+        /// Revenue of the call if it is established, in units of the settings; counted when sent.
         worth: u32,
-        /// What the attempt costs, in the same units; counted when sent.
+        /// Cost of the attempt, in the same units; counted when sent.
         cost: u32,
     },
-    /// The servers of a zone that are ready (neither draining nor stopped), whenever that changes.
+    /// The servers of a zone that are ready (neither draining nor stopped). Sent whenever the set changes.
     Servers {
         /// The zone.
         zone: ZoneId,
@@ -81,74 +85,76 @@
         servers: Vec<Server>,
     },
     /// A fact that another member published.
-    Heard {
+    FactReceived {
         /// The member.
         origin: u32,
-        /// How long ago it was true there, on the whole.
+        /// Estimated age of the fact.
         age: Micros,
-        /// As [`Output::Publish`] had it.
+        /// The fact as encoded in [`Output::Publish`].
         bytes: Vec<u8>,
     },
-    /// A step came out of the agreed log. Only where the settings have a log.
+    /// A step was committed to the replicated log. Used only if the settings enable the log.
     Agreed(Step),
-    /// Who is there, this node included, whenever that changes.
+    /// The members that are alive, including this node. Sent whenever the set changes.
     Alive(Vec<u32>),
-    /// The moment that [`Zones::wake`] named has come.
+    /// The time returned by [`Zones::next_timeout`] has come.
     Timeout,
 }
 
-/// What the core asks of its node.
+/// Output from the core to its node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Spread this as the node's fact of zones, in place of the last.
+    /// Publish this as the node's zone fact, replacing the previous one.
     Publish(Vec<u8>),
-    /// Put this to the agreed log. It may be lost, late or doubled.
+    /// Propose this step to the replicated log. The proposal may be lost, delayed or duplicated.
     Propose(Step),
-    /// From now on the zone gets this share of the calls that would go there by choice. Calls that may go nowhere
-    /// else still go, and standing ones stay.
+    /// From now on the zone gets this share of the calls that the node would choose to send there. Calls that
+    /// can go nowhere else are still sent to it, and established calls stay.
     Share {
         /// The zone.
         zone: ZoneId,
-        /// From 0 to 1.
+        /// Share between 0 and 1.
         share: f64,
-        /// Show the zone's servers to the module as started then, if they are not younger.
+        /// Present the zone's servers to the decision module as started at this time, unless they started
+        /// later.
         cold_since: Option<Micros>,
     },
-    /// So many calls may be tried at a zone that was left, in place of what was allowed before.
+    /// Allows this number of trial calls to a zone that was left, replacing the previous allowance.
     Trial {
         /// The zone.
         zone: ZoneId,
-        /// Set-ups; 0 takes back what is left.
+        /// Number of set-ups; 0 withdraws the remaining allowance.
         allowed: u32,
     },
-    /// For the log.
+    /// An event for the log.
     Notice(Notice),
 }
 
-/// What is worth a line in the log.
+/// Events to be logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// A step took effect here.
-    Took {
-        /// Its number.
+    StepApplied {
+        /// The step's number.
         number: u64,
-        /// Who put it to the fleet.
+        /// The node that proposed it.
         origin: u32,
     },
-    /// Steps between these two never came here.
-    Missed {
-        /// The last that this node took before.
+    /// The steps between these two were never received.
+    StepsMissed {
+        /// The step that this node applied before.
         from: u64,
-        /// The one it took now.
+        /// The step that it applied now.
         to: u64,
     },
-    /// This node fails at a zone that works for the rest: the fault is on its side.
-    Alone {
+    /// Set-ups of this node fail in a zone that works for the other nodes: the fault is local.
+    LocalFault {
         /// The zone.
         zone: ZoneId,
     },
-    /// No quorum is heard: no step can come, and zones under way get nothing from this node.
+    /// Facts from a quorum are missing: no step can be proposed, and zones being left or restored get no
+    /// calls from this node.
     NoQuorum,
-    /// A quorum is heard again.
+    /// Facts from a quorum are available again.
     Quorum,
 }
--- a/crates/lemoncleat-zones/src/worth.rs
+++ b/crates/lemoncleat-zones/src/worth.rs
@@ -1,16 +1,16 @@
-//! What leaving a zone gains, and what the others can bear.
+//! Estimates the gain of leaving a zone and the capacity of the other zones.
 
 use crate::{Micros, Server, Settings};
 
-/// A zone as the gain sees it.
+/// The figures of a zone that the gain is computed from.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct View {
-    /// Set-ups a second it usually gets.
+pub(crate) struct ZoneView {
+    /// Set-ups per second that it normally gets.
     pub rate: f64,
-    /// Set-ups a second it takes at present.
+    /// Set-ups per second that it can take at present.
     pub capacity: f64,
-    /// Share of set-ups that find a living server.
-    pub chance: f64,
+    /// Share of set-ups that a live server responds to.
+    pub success_rate: f64,
     /// Mean wait in milliseconds.
     pub wait: f64,
     /// Mean worth of a call there, and cost of an attempt.
@@ -20,47 +20,54 @@
     pub open: bool,
 }
 
-/// What leaving would do.
+/// The effect of leaving a zone.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gain {
-    /// What a call gains that leaves.
-    pub each: f64,
-    /// Share of the zone's calls that must stay, because the others have no room.
-    pub keep: f64,
+    /// Gain per call that leaves the zone.
+    pub per_call: f64,
+    /// Share of the zone's calls that must stay because the other zones have no capacity for them.
+    pub keep_share: f64,
 }
 
-/// What leaving the zone at `place` gains, if anything could leave at all.
-pub(crate) fn gain(settings: &Settings, views: &[View], place: usize, ignore_room: bool) -> Option<Gain> {
-    let here = views.get(place)?;
-    let rate = here.rate.max(1.0);
-    let others = || views.iter().enumerate().filter(|(other, view)| *other != place && view.open);
-    let room = |view: &View| {
-        if ignore_room {
+/// Returns the gain of leaving the zone at `index`; `None` if less than 5 % of its calls could leave.
+pub(crate) fn gain(
+    settings: &Settings,
+    views: &[ZoneView],
+    index: usize,
+    ignore_capacity: bool,
+) -> Option<Gain> {
+    let zone = views.get(index)?;
+    let rate = zone.rate.max(1.0);
+    let others = || views.iter().enumerate().filter(|(other, view)| *other != index && view.open);
+    let spare_capacity = |view: &ZoneView| {
+        if ignore_capacity {
             view.capacity
         } else {
-            (view.capacity * settings.fill - view.rate).max(0.0)
+            (view.capacity * settings.max_fill - view.rate).max(0.0)
         }
     };
-    let total: f64 = others().map(|(_, view)| room(view)).sum();
+    let total: f64 = others().map(|(_, view)| spare_capacity(view)).sum();
     let leaving = total.min(rate);
     if leaving < 0.05 * rate {
         return None;
     }
-    let patience = |wait: f64| (1.0 - wait * 1000.0 / settings.hurry.max(1) as f64).clamp(0.0, 1.0);
-    let mut there = 0.0;
+    let worth_after_wait =
+        |wait: f64| (1.0 - wait * 1000.0 / settings.max_useful_wait.max(1) as f64).clamp(0.0, 1.0);
+    let mut worth_elsewhere = 0.0;
     for (_, view) in others() {
-        let part = room(view) / total;
-        // A queue's wait grows as what is left of the capacity shrinks.
+        let part = spare_capacity(view) / total;
+        // The wait in a queue grows as the spare capacity shrinks.
         let spare = |rate: f64| (1.0 - rate / view.capacity.max(1.0)).max(0.05);
         let wait = view.wait * (spare(view.rate) / spare(view.rate + leaving * part)).max(1.0);
-        there += part * (here.worth * view.chance * patience(wait) - view.cost);
+        worth_elsewhere += part * (zone.worth * view.success_rate * worth_after_wait(wait) - view.cost);
     }
-    let stays = here.worth * here.chance * patience(here.wait) - here.cost;
-    Some(Gain { each: there - stays, keep: 1.0 - leaving / rate })
+    let worth_here = zone.worth * zone.success_rate * worth_after_wait(zone.wait) - zone.cost;
+    Some(Gain { per_call: worth_elsewhere - worth_here, keep_share: 1.0 - leaving / rate })
 }
 
-/// Set-ups a second that servers take now, if they count as started no earlier than `cold_since`.
-pub(crate) fn present(
+/// Returns the set-ups per second that servers can take now if they count as started no earlier than
+/// `cold_since`.
+pub(crate) fn present_capacity(
     settings: &Settings,
     servers: &[Server],
     cold_since: Option<Micros>,
@@ -70,16 +77,16 @@
         .iter()
         .map(|server| {
             let started = cold_since.map_or(server.started, |since| since.max(server.started));
-            server.capacity * warmth(settings, now - started)
+            server.capacity * warm_fraction(settings, now - started)
         })
         .sum()
 }
 
-/// Share of its warm capacity that a server of this age takes.
-pub(crate) fn warmth(settings: &Settings, age: Micros) -> f64 {
+/// Returns the share of its warm capacity that a server of this age can take.
+pub(crate) fn warm_fraction(settings: &Settings, age: Micros) -> f64 {
     if settings.cold_span <= 0 {
         return 1.0;
     }
-    let grown = (age as f64 / settings.cold_span as f64).clamp(0.0, 1.0);
-    settings.cold_from + (1.0 - settings.cold_from) * grown
+    let warmed = (age as f64 / settings.cold_span as f64).clamp(0.0, 1.0);
+    settings.cold_from + (1.0 - settings.cold_from) * warmed
 }
--- a/crates/lemoncleat-zones/src/zones.rs
+++ b/crates/lemoncleat-zones/src/zones.rs
@@ -1,149 +1,153 @@
-//! The core: what a node knows, the steps it takes, and what it tells its own calls.
+//! The core of a node: its knowledge of the zones, the steps it applies, and the shares it reports to the
+//! node.
 
 use std::collections::BTreeMap;
 
 use lemoncleat_faults::point;
 
-use crate::evidence::{Fact, Ring};
+use crate::evidence::{Fact, RecentOutcomes};
 use crate::settings::planted;
 use crate::step::mix;
-use crate::worth::{present, warmth};
-use crate::{Entry, Input, Micros, Notice, Output, Phase, Server, Settings, Step, What, ZoneId};
+use crate::worth::{present_capacity, warm_fraction};
+use crate::{Entry, Input, Micros, Notice, Outcome, Output, Phase, Server, Settings, Step, ZoneId};
 
-/// One zone as this node knows it.
+/// The state of one zone at this node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Zone {
     pub servers: Vec<Server>,
-    /// Servers that it had lately, those included that are not ready at the moment, and when it had them.
+    /// Largest recent number of servers, including those that are not ready at the moment, and the time of
+    /// that number.
     pub size: (usize, Micros),
-    pub ring: Ring,
-    /// What the fleet usually sends there and how long that waits, from sums while all was well.
-    pub usual: f64,
+    pub recent: RecentOutcomes,
+    /// Set-ups per second that the fleet normally sends there, and their mean wait, learned while the zone
+    /// was healthy.
+    pub baseline_rate: f64,
     pub wait: f64,
-    /// From how many looks.
-    pub looks: u32,
-    /// Most set-ups a second that it was seen to answer.
-    pub shown: f64,
-    /// The step that last changed it, and when that took effect here.
+    /// Number of samples behind the baseline.
+    pub samples: u32,
+    /// Highest rate of answered set-ups observed, per second.
+    pub peak_answer_rate: f64,
+    /// The step that last changed it, and the time at which that step was applied here.
     pub changed: u64,
-    pub taken: Micros,
-    /// Since when its servers count as cold.
+    pub applied_at: Micros,
+    /// Time since which its servers count as cold.
     pub cold_since: Option<Micros>,
-    /// Since when leaving is clearly better.
+    /// Time since which leaving has been clearly better.
     pub clear_since: Option<Micros>,
-    /// What the node was told last.
-    told: (u16, Option<Micros>),
-    pub trials: u32,
-    /// The step that the last trials were for.
-    pub tried: u64,
-    pub alone: bool,
+    /// The share and cold time last reported to the node.
+    last_reported: (u16, Option<Micros>),
+    pub trials_allowed: u32,
+    /// The step for which trials were last allowed.
+    pub trial_step: u64,
+    pub local_fault: bool,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Known {
+pub(crate) struct PeerFact {
     pub fact: Fact,
-    /// When it was true, on this node's clock.
+    /// Time at which it was made, on this node's clock.
     pub at: Micros,
 }
 
-/// Decides with the rest of the fleet whether a zone is left, how much of it, and how it returns.
+/// Decides with the rest of the fleet whether a zone is left, to what extent, and how calls return to it.
 #[derive(Clone, Debug)]
 pub struct Zones {
     pub(crate) settings: Settings,
     pub(crate) step: Step,
     pub(crate) zones: Vec<Zone>,
-    pub(crate) known: BTreeMap<u32, Known>,
+    pub(crate) peer_facts: BTreeMap<u32, PeerFact>,
     pub(crate) alive: Vec<u32>,
-    pub(crate) begun: Option<Micros>,
-    /// When the last step was taken that made a zone get less.
-    pub(crate) left: Option<Micros>,
-    pub(crate) proposed: Option<Micros>,
+    pub(crate) started_at: Option<Micros>,
+    /// Time of the last step that reduced a zone's share.
+    pub(crate) last_reduced_at: Option<Micros>,
+    pub(crate) propose_at: Option<Micros>,
     quorum: bool,
-    next: Option<Micros>,
-    published: Micros,
-    unread: u64,
+    next_check_at: Option<Micros>,
+    published_at: Micros,
+    rejected_payloads: u64,
 }
 
 impl Zones {
-    /// A node that knows nothing yet. Its first [`Input`] starts its time.
+    /// Creates a core without any knowledge. Its clock starts with the first [`Input`].
     pub fn new(settings: Settings) -> Zones {
         let zones = (0..settings.zones)
-            .map(|_| Zone { told: (1000, None), taken: Micros::MIN / 2, ..Zone::default() })
+            .map(|_| Zone { last_reported: (1000, None), applied_at: Micros::MIN / 2, ..Zone::default() })
             .collect();
         let alive = settings.members.keys().copied().collect();
         Zones {
             settings,
             step: Step::default(),
             zones,
-            known: BTreeMap::new(),
+            peer_facts: BTreeMap::new(),
             alive,
-            begun: None,
-            left: None,
-            proposed: None,
+            started_at: None,
+            last_reduced_at: None,
+            propose_at: None,
             quorum: false,
-            next: None,
-            published: Micros::MIN / 2,
-            unread: 0,
+            next_check_at: None,
+            published_at: Micros::MIN / 2,
+            rejected_payloads: 0,
         }
     }
 
-    /// The step that holds here.
+    /// Returns the step in force at this node.
     pub fn step(&self) -> &Step {
         &self.step
     }
 
-    /// Payloads that could not be read, or came from no member.
-    pub fn unread(&self) -> u64 {
-        self.unread
+    /// Returns the number of payloads that were malformed or came from a node that is not a member.
+    pub fn rejected_payloads(&self) -> u64 {
+        self.rejected_payloads
     }
 
-    /// Whether facts of more than half of the members are at hand, this node's among them.
+    /// Returns whether facts of more than half of the members are available, including this node's.
     pub fn has_quorum(&self) -> bool {
         self.quorum
     }
 
-    /// When the core wants to be called with [`Input::Timeout`]. None where there is nothing to decide: less than
-    /// two zones of servers, or a node that is no member.
-    pub fn wake(&self) -> Option<Micros> {
-        self.next
+    /// Returns the time at which the core must be called with [`Input::Timeout`]. `None` if there is nothing
+    /// to decide: with fewer than two zones of servers, or if this node is not a member.
+    pub fn next_timeout(&self) -> Option<Micros> {
+        self.next_check_at
     }
 
-    /// Takes one input. Moments never go back; an input of the past counts as now.
+    /// Processes one input. Time must not go backwards; an input with an earlier time counts as made now.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         if self.settings.zones < 2 || !self.settings.members.contains_key(&self.settings.me) {
             return;
         }
-        if self.begun.is_none() {
-            self.begun = Some(now);
-            self.next = Some(now + self.settings.tick);
+        if self.started_at.is_none() {
+            self.started_at = Some(now);
+            self.next_check_at = Some(now + self.settings.check_interval);
         }
         match input {
-            Input::Outcome { zone, server, what, waited, worth, cost } => {
-                let start = now - now.rem_euclid(self.settings.tick.max(1));
-                let old = planted!(self.settings, OldEvidence);
+            Input::Outcome { zone, server, outcome, waited, worth, cost } => {
+                let start = now - now.rem_euclid(self.settings.check_interval.max(1));
+                let accept_old = planted!(self.settings, OldEvidence);
                 let zone = self.zones.get_mut(usize::from(zone.0));
-                if let Some(zone) = zone.filter(|zone| old || now.saturating_sub(waited.max(0)) >= zone.taken)
+                if let Some(zone) =
+                    zone.filter(|zone| accept_old || now.saturating_sub(waited.max(0)) >= zone.applied_at)
                 {
-                    zone.ring.count(start, server, what, waited, (worth, cost));
+                    zone.recent.record(start, server, outcome, waited, (worth, cost));
                 }
-                if matches!(what, What::Silent | What::Reset | What::Unreachable) {
-                    self.soon(now);
+                if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Unreachable) {
+                    self.schedule_check(now);
                 }
             }
             Input::Servers { zone, servers } => {
-                if let Some(known) = self.zones.get_mut(usize::from(zone.0)) {
-                    known.servers = servers;
-                    known.servers.truncate(4096);
-                    if known.servers.len() >= known.size.0 {
-                        known.size = (known.servers.len(), now);
+                if let Some(zone) = self.zones.get_mut(usize::from(zone.0)) {
+                    zone.servers = servers;
+                    zone.servers.truncate(4096);
+                    if zone.servers.len() >= zone.size.0 {
+                        zone.size = (zone.servers.len(), now);
                     }
                 }
-                self.tell(now, out);
+                self.report_shares(now, out);
             }
-            Input::Heard { origin, age, bytes } => self.hear(now, origin, age, &bytes, out),
+            Input::FactReceived { origin, age, bytes } => self.handle_fact(now, origin, age, &bytes, out),
             Input::Agreed(step) => {
                 if self.settings.log {
-                    self.take(now, step, out);
+                    self.apply_step(now, step, out);
                 }
             }
             Input::Alive(nodes) => {
@@ -153,206 +157,219 @@
                 self.alive.dedup();
             }
             Input::Timeout => {
-                if self.next.is_some_and(|next| now >= next) {
-                    self.tick(now, out);
+                if self.next_check_at.is_some_and(|next| now >= next) {
+                    self.check(now, out);
                 }
             }
         }
     }
 
-    /// The next look is a tick after the last publication, no matter how long quiet nodes may wait.
-    fn soon(&mut self, now: Micros) {
-        let soon = (self.published + self.settings.tick).max(now);
-        self.next = Some(self.next.map_or(soon, |next| next.min(soon)));
+    /// Schedules the next check one check interval after the last publication, even if a later one was
+    /// planned.
+    fn schedule_check(&mut self, now: Micros) {
+        let at = (self.published_at + self.settings.check_interval).max(now);
+        self.next_check_at = Some(self.next_check_at.map_or(at, |next| next.min(at)));
     }
 
-    fn hear(&mut self, now: Micros, origin: u32, age: Micros, bytes: &[u8], out: &mut Vec<Output>) {
-        let fact = Fact::decode(bytes).filter(|fact| fact.step.sound(self.settings.zones));
+    fn handle_fact(&mut self, now: Micros, origin: u32, age: Micros, bytes: &[u8], out: &mut Vec<Output>) {
+        let fact = Fact::decode(bytes).filter(|fact| fact.step.is_valid(self.settings.zones));
         let Some(fact) = fact.filter(|_| self.settings.members.contains_key(&origin)) else {
-            self.unread = self.unread.saturating_add(1);
+            self.rejected_payloads = self.rejected_payloads.saturating_add(1);
             return;
         };
         let at = now.saturating_sub(age.max(0));
         if origin == self.settings.me {
-            // The last life of this node: nothing it saw counts, but its step may be news.
-            return self.take(now, fact.step, out);
+            // The fact is from a previous run of this node: its counts are ignored, but its step may be
+            // newer.
+            return self.apply_step(now, fact.step, out);
         }
-        // Late or repeated: the step in it is looked at all the same, its own number tells whether it is news.
-        let newer = self.known.get(&origin).is_none_or(|known| known.at < at);
+        // The step is examined even if the fact is late or duplicated: the step's own number tells whether it
+        // is new.
+        let newer = self.peer_facts.get(&origin).is_none_or(|peer| peer.at < at);
         let step = fact.step.clone();
-        if newer && now.saturating_sub(at) <= self.settings.life {
-            self.known.insert(origin, Known { fact, at });
+        if newer && now.saturating_sub(at) <= self.settings.fact_lifetime {
+            self.peer_facts.insert(origin, PeerFact { fact, at });
         }
-        self.take(now, step, out);
+        self.apply_step(now, step, out);
     }
 
-    /// A step that came from the log or with a fact.
-    pub(crate) fn take(&mut self, now: Micros, step: Step, out: &mut Vec<Output>) {
-        let late = planted!(self.settings, LateStep) && step.number > 0 && step != self.step;
-        if !(step.beats(&self.step, self.settings.log) || late) || !step.sound(self.settings.zones) {
+    /// Applies a step that came from the log or with a fact, if it is newer than the one in force.
+    pub(crate) fn apply_step(&mut self, now: Micros, step: Step, out: &mut Vec<Output>) {
+        let accept_outdated = planted!(self.settings, LateStep) && step.number > 0 && step != self.step;
+        if !(step.supersedes(&self.step, self.settings.log) || accept_outdated)
+            || !step.is_valid(self.settings.zones)
+        {
             return;
         }
         point!(ZONE_STEP);
         let last = self.step.number;
         if step.number > last.saturating_add(1) {
-            out.push(Output::Notice(Notice::Missed { from: last, to: step.number }));
+            out.push(Output::Notice(Notice::StepsMissed { from: last, to: step.number }));
         }
-        out.push(Output::Notice(Notice::Took { number: step.number, origin: step.origin }));
-        for (place, zone) in self.zones.iter_mut().enumerate() {
-            let id = ZoneId(place as u16);
+        out.push(Output::Notice(Notice::StepApplied { number: step.number, origin: step.origin }));
+        for (index, zone) in self.zones.iter_mut().enumerate() {
+            let id = ZoneId(index as u16);
             let (before, after) = (self.step.entry(id).copied(), step.entry(id).copied());
             if before == after {
                 continue;
             }
             let share = |entry: &Option<Entry>| entry.map_or(1000, |entry| entry.share);
-            let more = share(&after) > share(&before);
+            let increased = share(&after) > share(&before);
             let relapsed = |entry: &Option<Entry>| entry.map_or(0, |entry| entry.relapses);
-            let back = relapsed(&after) > relapsed(&before);
-            if back {
+            let relapsed_now = relapsed(&after) > relapsed(&before);
+            if relapsed_now {
                 point!(ZONE_RELAPSE);
             }
-            if more && !back {
+            if increased && !relapsed_now {
                 point!(ZONE_RETURN);
             }
             if share(&after) < share(&before) {
-                self.left = Some(now);
+                self.last_reduced_at = Some(now);
             }
-            // What was seen before says nothing of what the zone does now.
+            // Outcomes observed before the step are no evidence of the zone's state after it.
             if !planted!(self.settings, OldEvidence) {
-                zone.ring.clear();
+                zone.recent.clear();
             }
             zone.clear_since = None;
             zone.changed = after.map_or(step.number, |entry| entry.at);
-            zone.taken = now;
+            zone.applied_at = now;
             zone.cold_since = match after.map(|entry| entry.phase) {
                 None | Some(Phase::Left | Phase::Trial) => None,
-                Some(Phase::Return | Phase::Whole) => zone.cold_since.or(Some(now)),
+                Some(Phase::Return | Phase::Restored) => zone.cold_since.or(Some(now)),
             };
         }
         self.step = step;
-        self.proposed = None;
+        self.propose_at = None;
         self.allow_trials(out);
-        self.tell(now, out);
-        self.soon(now);
+        self.report_shares(now, out);
+        self.schedule_check(now);
     }
 
     fn allow_trials(&mut self, out: &mut Vec<Output>) {
-        for place in 0..self.zones.len() {
-            let id = ZoneId(place as u16);
+        for index in 0..self.zones.len() {
+            let id = ZoneId(index as u16);
             let trial = self.step.entry(id).is_some_and(|entry| entry.phase == Phase::Trial);
             let mut allowed = 0;
             if trial {
-                let triers = self.step.triers(id, &self.settings.members, self.settings.trials);
-                allowed =
-                    triers.iter().find(|(node, _)| *node == self.settings.me).map_or(0, |(_, each)| *each);
+                let trial_members = self.step.trial_members(id, &self.settings.members, self.settings.trials);
+                allowed = trial_members
+                    .iter()
+                    .find(|(node, _)| *node == self.settings.me)
+                    .map_or(0, |(_, set_ups)| *set_ups);
                 if planted!(self.settings, AllTry) {
                     allowed = self.settings.trials;
                 }
             }
-            let Some(zone) = self.zones.get_mut(place) else { continue };
-            // A step heard twice, or about another zone, gives no further trials.
-            if (allowed == 0 && zone.trials == 0) || (trial && zone.tried >= zone.changed) {
+            let Some(zone) = self.zones.get_mut(index) else { continue };
+            // A step that is received twice, or that concerns another zone, allows no further trials.
+            if (allowed == 0 && zone.trials_allowed == 0) || (trial && zone.trial_step >= zone.changed) {
                 continue;
             }
             if allowed > 0 {
-                zone.tried = zone.changed;
+                zone.trial_step = zone.changed;
                 point!(ZONE_TRIAL);
             }
-            zone.trials = allowed;
+            zone.trials_allowed = allowed;
             out.push(Output::Trial { zone: id, allowed });
         }
     }
 
-    /// Tells the node what its calls may do, where that changed.
-    pub(crate) fn tell(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let works: Vec<bool> = self.zones.iter().map(|zone| zone.ring.sum(0).alive() > 0).collect();
-        for (place, zone) in self.zones.iter_mut().enumerate() {
-            let id = ZoneId(place as u16);
+    /// Reports the shares that changed to the node.
+    pub(crate) fn report_shares(&mut self, now: Micros, out: &mut Vec<Output>) {
+        let responding: Vec<bool> =
+            self.zones.iter().map(|zone| zone.recent.sum(0).responded() > 0).collect();
+        for (index, zone) in self.zones.iter_mut().enumerate() {
+            let id = ZoneId(index as u16);
             let mut share = 1000;
             if let Some(entry) = self.step.entry(id) {
                 share = entry.share;
                 if entry.phase == Phase::Return && !planted!(self.settings, NoCold) {
-                    share = share.min(bearable(&self.settings, zone, entry, now));
+                    share = share.min(sustainable_share(&self.settings, zone, entry, now));
                 }
-                if !self.quorum && entry.phase != Phase::Whole {
-                    // The fleet may have gone back further than this node knows. But with nothing else in reach it
-                    // is on its own, as without a fleet.
-                    let elsewhere = works.iter().enumerate().any(|(other, works)| other != place && *works);
+                if !self.quorum && entry.phase != Phase::Restored {
+                    // Without a quorum the fleet may have reduced the share further than this node knows. But
+                    // if no other zone works from here, the node acts as it would without a fleet.
+                    let elsewhere = responding
+                        .iter()
+                        .enumerate()
+                        .any(|(other, responding)| other != index && *responding);
                     share = if elsewhere { 0 } else { 1000 };
                     if !elsewhere {
                         zone.cold_since = zone.cold_since.or(Some(now));
                     }
                 }
             }
-            let tell = (share, zone.cold_since);
-            if zone.told != tell {
-                zone.told = tell;
+            let report = (share, zone.cold_since);
+            if zone.last_reported != report {
+                zone.last_reported = report;
                 let share = f64::from(share) / 1000.0;
                 out.push(Output::Share { zone: id, share, cold_since: zone.cold_since });
             }
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+    fn check(&mut self, now: Micros, out: &mut Vec<Output>) {
         let settings = &self.settings;
-        for (place, zone) in self.zones.iter_mut().enumerate() {
-            let usual = self.step.entry(ZoneId(place as u16)).is_none_or(|entry| entry.phase == Phase::Whole);
-            if now - zone.size.1 > settings.memory {
+        for (index, zone) in self.zones.iter_mut().enumerate() {
+            let normal =
+                self.step.entry(ZoneId(index as u16)).is_none_or(|entry| entry.phase == Phase::Restored);
+            if now - zone.size.1 > settings.relapse_memory {
                 zone.size = (zone.servers.len(), now);
             }
-            if usual {
-                // In whole slices, a window's worth on the mean.
-                zone.ring.forget_before(now - settings.window - settings.tick / 2);
+            if normal {
+                // Drops whole slices, so that on average one window of them remains.
+                zone.recent.drop_before(now - settings.window - settings.check_interval / 2);
             }
         }
-        self.known.retain(|_, known| now - known.at <= settings.life);
-        let heard = 1 + self.known.keys().filter(|origin| **origin != settings.me).count();
-        let quorum = heard >= settings.quorum() || planted!(settings, NoQuorum);
+        self.peer_facts.retain(|_, peer| now - peer.at <= settings.fact_lifetime);
+        let reporting = 1 + self.peer_facts.keys().filter(|origin| **origin != settings.me).count();
+        let quorum = reporting >= settings.quorum() || planted!(settings, NoQuorum);
         if quorum != self.quorum {
             self.quorum = quorum;
             out.push(Output::Notice(if quorum { Notice::Quorum } else { Notice::NoQuorum }));
         }
         self.decide(now, out);
-        self.tell(now, out);
-        let trouble = self.troubled();
-        let span = if trouble { self.settings.tick } else { self.settings.quiet };
-        if now - self.published >= span {
-            // Not all in the same instant, and not each time in the same order.
-            self.published = now;
+        self.report_shares(now, out);
+        let trouble = self.has_trouble();
+        let interval = if trouble { self.settings.check_interval } else { self.settings.quiet_interval };
+        if now - self.published_at >= interval {
+            // The jitter below keeps nodes from publishing at the same time and in the same order.
+            self.published_at = now;
             out.push(Output::Publish(self.fact(now).encode()));
         }
-        let jitter = (mix(now as u64, self.settings.me) % 1024) as Micros * self.settings.tick / 16384;
-        self.next = Some(now + self.settings.tick - jitter);
+        let jitter =
+            (mix(now as u64, self.settings.me) % 1024) as Micros * self.settings.check_interval / 16384;
+        self.next_check_at = Some(now + self.settings.check_interval - jitter);
     }
 
-    /// Something failed here, or the fleet is under way.
-    fn troubled(&self) -> bool {
-        self.step.entries.iter().any(|entry| entry.phase != Phase::Whole)
-            || self.zones.iter().any(|zone| zone.ring.sum(0).bad() > 0)
+    /// Whether a failure was observed here, or any zone is being left or restored.
+    fn has_trouble(&self) -> bool {
+        self.step.entries.iter().any(|entry| entry.phase != Phase::Restored)
+            || self.zones.iter().any(|zone| zone.recent.sum(0).failures() > 0)
     }
 
-    /// What this node has to say.
+    /// Builds this node's current fact.
     pub(crate) fn fact(&self, now: Micros) -> Fact {
-        let span = self.settings.window.min(now - self.begun.unwrap_or(now)) / 1000;
-        let seen = (0u16..).zip(&self.zones).map(|(place, zone)| zone.ring.sum(place));
-        let seen = seen.filter(|seen| seen.sent > 0 || seen.settled() > 0).collect();
-        Fact { step: self.step.clone(), span: span.clamp(0, 60_000) as u16, seen }
+        let span = self.settings.window.min(now - self.started_at.unwrap_or(now)) / 1000;
+        let counts = (0u16..).zip(&self.zones).map(|(index, zone)| zone.recent.sum(index));
+        let counts = counts.filter(|counts| counts.sent > 0 || counts.settled() > 0).collect();
+        Fact { step: self.step.clone(), span: span.clamp(0, 60_000) as u16, counts }
     }
 }
 
-/// Thousandths of its usual calls that a returning zone bears now, at the most.
-pub(crate) fn bearable(settings: &Settings, zone: &Zone, entry: &Entry, now: Micros) -> u16 {
-    let usual = f64::from(entry.usual.max(1));
-    let bears = present(settings, &zone.servers, zone.cold_since.or(Some(now)), now);
-    let share = if bears > 0.0 {
-        bears * settings.cold_use / usual
+/// Returns the share of its normal calls, in thousandths, that a returning zone can take at present.
+pub(crate) fn sustainable_share(settings: &Settings, zone: &Zone, entry: &Entry, now: Micros) -> u16 {
+    let baseline_rate = f64::from(entry.baseline_rate.max(1));
+    let capacity = present_capacity(settings, &zone.servers, zone.cold_since.or(Some(now)), now);
+    let share = if capacity > 0.0 {
+        capacity * settings.cold_use / baseline_rate
     } else if zone.servers.is_empty() {
         0.0
     } else {
-        // Nobody knows what they take: what they took before, cold.
+        // The servers' capacity is unknown: assumes that they could take the baseline when warm.
         let youngest = zone.servers.iter().map(|server| server.started).max().unwrap_or(now);
         let started = youngest.max(zone.cold_since.unwrap_or(now));
-        warmth(settings, now - started) * settings.cold_use
+        warm_fraction(settings, now - started) * settings.cold_use
     };
     (share * 1000.0).clamp(0.0, 1000.0) as u16
 }
--- a/crates/lemoncleat-zones/tests/cases.rs
+++ b/crates/lemoncleat-zones/tests/cases.rs
@@ -1,16 +1,16 @@
-//! What each kind of failure gets.
+//! The reaction of the fleet to each kind of failure.
 
 mod bed;
 
-use bed::{Bed, Cut, Plan, Trouble, S};
+use bed::{Cut, Failure, Scenario, Simulation, S};
 use lemoncleat_zones::{Phase, ZoneId};
 
-fn show(name: &str, bed: &Bed) {
+fn print_steps(name: &str, sim: &Simulation) {
     println!(
-        "{name}: lost {:?} pushed {} broken {:?}",
-        bed.result.lost, bed.result.pushed_over, bed.result.broken
+        "{name}: lost {:?} overload crashes {} violations {:?}",
+        sim.result.lost, sim.result.overload_crashes, sim.result.violations
     );
-    for (at, step) in &bed.result.steps {
+    for (at, step) in &sim.result.steps {
         let of =
             |e: &lemoncleat_zones::Entry| format!("z{} {:?} {} r{}", e.zone.0, e.phase, e.share, e.relapses);
         println!(
@@ -22,134 +22,146 @@
     }
 }
 
-fn sound(bed: &Bed) {
-    assert!(bed.result.broken.is_empty(), "{:?}", bed.result.broken);
-    assert_eq!(bed.result.pushed_over, 0);
+fn assert_no_violations(sim: &Simulation) {
+    assert!(sim.result.violations.is_empty(), "{:?}", sim.result.violations);
+    assert_eq!(sim.result.overload_crashes, 0);
 }
 
 #[test]
-fn a_dead_zone_is_left_at_once_and_returns_cold() {
-    let bed = Bed::play(Plan { until: 40 * S, ..Plan::new(9, 1).trouble(5 * S, 15 * S, 1, Trouble::Down) });
-    show("dead", &bed);
-    sound(&bed);
-    let (left, share) = bed.left_at(1).expect("left");
+fn leaves_dead_zone_quickly_and_returns_to_cold_servers() {
+    let sim = Simulation::run_all(Scenario {
+        until: 40 * S,
+        ..Scenario::new(9, 1).failure(5 * S, 15 * S, 1, Failure::Down)
+    });
+    print_steps("dead", &sim);
+    assert_no_violations(&sim);
+    let (left, share) = sim.left_at(1).expect("left");
     assert!(left < 8 * S && share == 0);
-    assert!(bed.whole_at(1, left).is_some_and(|whole| whole > 15 * S));
+    assert!(sim.restored_at(1, left).is_some_and(|restored| restored > 15 * S));
 }
 
 #[test]
-fn losing_a_third_or_waiting_ten_times_as_long_is_left() {
-    for (seed, trouble) in [(2, Trouble::Lossy(0.34)), (3, Trouble::Slow(10.0))] {
-        let bed = Bed::play(Plan::new(9, seed).trouble(5 * S, 15 * S, 1, trouble));
-        show(&format!("{trouble:?}"), &bed);
-        sound(&bed);
-        assert!(bed.left_at(1).is_some());
+fn leaves_zone_that_loses_a_third_or_answers_ten_times_slower() {
+    for (seed, failure) in [(2, Failure::Lossy(0.34)), (3, Failure::Slow(10.0))] {
+        let sim = Simulation::run_all(Scenario::new(9, seed).failure(5 * S, 15 * S, 1, failure));
+        print_steps(&format!("{failure:?}"), &sim);
+        assert_no_violations(&sim);
+        assert!(sim.left_at(1).is_some());
     }
 }
 
 #[test]
-fn two_zones_leave_only_as_much_as_the_third_bears() {
-    let plan = Plan::new(9, 4).trouble(5 * S, 15 * S, 0, Trouble::Lossy(0.5));
-    let bed = Bed::play(plan.trouble(5 * S, 15 * S, 1, Trouble::Lossy(0.6)));
-    show("two", &bed);
-    sound(&bed);
+fn moves_no_more_calls_than_third_zone_can_take_when_two_fail() {
+    let scenario = Scenario::new(9, 4).failure(5 * S, 15 * S, 0, Failure::Lossy(0.5));
+    let sim = Simulation::run_all(scenario.failure(5 * S, 15 * S, 1, Failure::Lossy(0.6)));
+    print_steps("two", &sim);
+    assert_no_violations(&sim);
     let shares: u32 =
-        [0, 1].iter().map(|zone| bed.left_at(*zone).map_or(1000, |(_, share)| u32::from(share))).sum();
-    assert!(bed.left_at(1).is_some() && shares > 1000, "{shares}");
+        [0, 1].iter().map(|zone| sim.left_at(*zone).map_or(1000, |(_, share)| u32::from(share))).sum();
+    assert!(sim.left_at(1).is_some() && shares > 1000, "{shares}");
 }
 
 #[test]
-fn all_failing_leaves_none() {
-    let plan =
-        (0..3).fold(Plan::new(9, 5), |plan, zone| plan.trouble(5 * S, 15 * S, zone, Trouble::Lossy(0.6)));
-    let bed = Bed::play(plan);
-    show("all", &bed);
-    sound(&bed);
-    assert!(bed.result.steps.is_empty());
+fn leaves_no_zone_when_all_fail() {
+    let scenario = (0..3).fold(Scenario::new(9, 5), |scenario, zone| {
+        scenario.failure(5 * S, 15 * S, zone, Failure::Lossy(0.6))
+    });
+    let sim = Simulation::run_all(scenario);
+    print_steps("all", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.result.steps.is_empty());
 }
 
 #[test]
-fn gray_for_nodes_of_one_zone_moves_nobody_and_they_find_that_they_are_alone() {
-    let bed = Bed::play(Plan::new(9, 6).trouble(5 * S, 15 * S, 1, Trouble::Gray(0b100)));
-    show("gray 1", &bed);
-    sound(&bed);
-    assert!(bed.result.steps.is_empty() && bed.result.alone > 0);
-    let bed = Bed::play(Plan::new(9, 7).trouble(5 * S, 15 * S, 1, Trouble::Gray(0b110)));
-    show("gray 2", &bed);
-    sound(&bed);
-    assert!(bed.left_at(1).is_some());
+fn reports_local_fault_when_only_nodes_of_one_zone_fail() {
+    let sim = Simulation::run_all(Scenario::new(9, 6).failure(5 * S, 15 * S, 1, Failure::Gray(0b100)));
+    print_steps("gray 1", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.result.steps.is_empty() && sim.result.local_faults > 0);
+    let sim = Simulation::run_all(Scenario::new(9, 7).failure(5 * S, 15 * S, 1, Failure::Gray(0b110)));
+    print_steps("gray 2", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.left_at(1).is_some());
 }
 
 #[test]
-fn a_flapping_zone_stays_away_longer_each_time() {
-    let plan = Plan::new(9, 8).trouble(5 * S, 65 * S, 1, Trouble::Flapping(4 * S));
-    let bed = Bed::play(Plan { until: 70 * S, ..plan });
-    show("flapping", &bed);
-    sound(&bed);
-    assert!(bed.result.steps.iter().any(|(_, step)| step.entry(ZoneId(1)).is_some_and(|e| e.relapses >= 2)));
+fn lengthens_rest_when_zone_flaps() {
+    let scenario = Scenario::new(9, 8).failure(5 * S, 65 * S, 1, Failure::Flapping(4 * S));
+    let sim = Simulation::run_all(Scenario { until: 70 * S, ..scenario });
+    print_steps("flapping", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.result.steps.iter().any(|(_, step)| step.entry(ZoneId(1)).is_some_and(|e| e.relapses >= 2)));
 }
 
 #[test]
-fn without_zones_nothing_happens() {
-    let plan = Plan { zones: 1, ..Plan::new(9, 9) }.trouble(5 * S, 15 * S, 0, Trouble::Silent);
-    let bed = Bed::play(plan);
-    sound(&bed);
-    assert!(bed.result.steps.is_empty() && bed.result.notes == 0);
+fn does_nothing_with_a_single_zone() {
+    let scenario = Scenario { zones: 1, ..Scenario::new(9, 9) }.failure(5 * S, 15 * S, 0, Failure::Silent);
+    let sim = Simulation::run_all(scenario);
+    assert_no_violations(&sim);
+    assert!(sim.result.steps.is_empty() && sim.result.facts_sent == 0);
 }
 
 #[test]
-fn a_zone_of_one_server_is_left() {
-    let plan =
-        Plan { servers: 1, capacity: 200.0, ..Plan::new(9, 10) }.trouble(5 * S, 15 * S, 1, Trouble::Down);
-    let bed = Bed::play(plan);
-    show("one server", &bed);
-    sound(&bed);
-    assert!(bed.left_at(1).is_some());
+fn leaves_zone_of_one_server() {
+    let scenario = Scenario { servers: 1, capacity: 200.0, ..Scenario::new(9, 10) }.failure(
+        5 * S,
+        15 * S,
+        1,
+        Failure::Down,
+    );
+    let sim = Simulation::run_all(scenario);
+    print_steps("one server", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.left_at(1).is_some());
 }
 
 #[test]
-fn nodes_cut_off_with_their_zone_are_no_quorum() {
-    let mut plan = Plan::new(9, 11).trouble(5 * S, 20 * S, 1, Trouble::Gray(0b101));
-    // Its own nodes reach only their own zone.
-    plan =
-        plan.trouble(5 * S, 20 * S, 0, Trouble::Gray(0b010)).trouble(5 * S, 20 * S, 2, Trouble::Gray(0b010));
-    plan.cuts.push((5 * S, 20 * S, Cut::Zone(1)));
-    let bed = Bed::play(Plan { until: 45 * S, ..plan });
-    show("cut off", &bed);
-    sound(&bed);
-    assert!(bed.left_at(1).is_some() && bed.left_at(0).is_none() && bed.left_at(2).is_none());
-    assert!(bed.nodes.iter().all(|node| node.core.as_ref().is_some_and(|core| core.step().number > 0)));
+fn leaves_only_failed_zone_when_its_nodes_are_cut_off() {
+    let mut scenario = Scenario::new(9, 11).failure(5 * S, 20 * S, 1, Failure::Gray(0b101));
+    // The zone's own nodes reach only their own zone.
+    scenario = scenario.failure(5 * S, 20 * S, 0, Failure::Gray(0b010)).failure(
+        5 * S,
+        20 * S,
+        2,
+        Failure::Gray(0b010),
+    );
+    scenario.cuts.push((5 * S, 20 * S, Cut::Zone(1)));
+    let sim = Simulation::run_all(Scenario { until: 45 * S, ..scenario });
+    print_steps("cut off", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.left_at(1).is_some() && sim.left_at(0).is_none() && sim.left_at(2).is_none());
+    assert!(sim.nodes.iter().all(|node| node.core.as_ref().is_some_and(|core| core.step().number > 0)));
 }
 
 #[test]
-fn without_a_quorum_nothing_moves() {
-    let mut plan = Plan::new(9, 12).trouble(6 * S, 15 * S, 1, Trouble::Silent);
-    plan.cuts.push((2 * S, 18 * S, Cut::All));
-    let bed = Bed::play(Plan { until: 18 * S, ..plan });
-    sound(&bed);
-    assert!(bed.result.steps.is_empty());
+fn proposes_nothing_without_quorum() {
+    let mut scenario = Scenario::new(9, 12).failure(6 * S, 15 * S, 1, Failure::Silent);
+    scenario.cuts.push((2 * S, 18 * S, Cut::All));
+    let sim = Simulation::run_all(Scenario { until: 18 * S, ..scenario });
+    assert_no_violations(&sim);
+    assert!(sim.result.steps.is_empty());
 }
 
 #[test]
-fn a_server_that_restarts_in_mid_return_is_cold_from_then() {
-    let mut plan = Plan::new(9, 13).trouble(5 * S, 12 * S, 1, Trouble::Down);
-    plan.restarts.extend((0..4).map(|server| (1, server, 15 * S, 16 * S)));
-    let bed = Bed::play(Plan { until: 45 * S, ..plan });
-    show("restart in mid-return", &bed);
-    sound(&bed);
-    assert!(bed.whole_at(1, 13 * S).is_some_and(|whole| whole > 18 * S));
-    let last = bed.result.steps.last().and_then(|(_, step)| step.entry(ZoneId(1)).map(|entry| entry.phase));
-    assert!(matches!(last, None | Some(Phase::Whole)));
+fn treats_servers_as_cold_when_they_restart_during_return() {
+    let mut scenario = Scenario::new(9, 13).failure(5 * S, 12 * S, 1, Failure::Down);
+    scenario.restarts.extend((0..4).map(|server| (1, server, 15 * S, 16 * S)));
+    let sim = Simulation::run_all(Scenario { until: 45 * S, ..scenario });
+    print_steps("restart in mid-return", &sim);
+    assert_no_violations(&sim);
+    assert!(sim.restored_at(1, 13 * S).is_some_and(|restored| restored > 18 * S));
+    let last = sim.result.steps.last().and_then(|(_, step)| step.entry(ZoneId(1)).map(|entry| entry.phase));
+    assert!(matches!(last, None | Some(Phase::Restored)));
 }
 
 #[test]
-fn without_a_log_the_highest_step_holds() {
-    let plan = Plan { log: false, ..Plan::new(9, 14) }.trouble(5 * S, 15 * S, 1, Trouble::Down);
-    let bed = Bed::play(Plan { until: 40 * S, ..plan });
-    show("no log", &bed);
-    assert!(bed.result.broken.is_empty() && bed.result.pushed_over == 0);
-    assert!(bed.left_at(1).is_some() && bed.whole_at(1, 16 * S).is_some());
+fn all_nodes_hold_highest_step_without_log() {
+    let scenario = Scenario { log: false, ..Scenario::new(9, 14) }.failure(5 * S, 15 * S, 1, Failure::Down);
+    let sim = Simulation::run_all(Scenario { until: 40 * S, ..scenario });
+    print_steps("no log", &sim);
+    assert!(sim.result.violations.is_empty() && sim.result.overload_crashes == 0);
+    assert!(sim.left_at(1).is_some() && sim.restored_at(1, 16 * S).is_some());
     let steps: Vec<_> =
-        bed.nodes.iter().filter_map(|node| node.core.as_ref()).map(|core| core.step()).collect();
+        sim.nodes.iter().filter_map(|node| node.core.as_ref()).map(|core| core.step()).collect();
     assert!(steps.windows(2).all(|pair| pair[0] == pair[1]));
 }
--- a/crates/lemoncleat-zones/tests/explored.rs
+++ b/crates/lemoncleat-zones/tests/explored.rs
@@ -1,65 +1,72 @@
-//! All orders of words between three nodes in a small step machine, to a stated depth.
+//! Explores all orders of messages between three nodes in a small state machine, to a given depth.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use lemoncleat_zones::{Fact, Input, Micros, Output, Server, Settings, Step, What, ZoneId, Zones};
+use lemoncleat_zones::{Fact, Input, Micros, Outcome, Output, Server, Settings, Step, ZoneId, Zones};
 
 const S: Micros = 1_000_000;
 
 #[derive(Clone, Debug)]
-struct World {
+struct Model {
     now: Micros,
     nodes: Vec<Zones>,
     facts: Vec<(Micros, Vec<u8>)>,
     log: Vec<Step>,
-    read: Vec<usize>,
-    heard: BTreeMap<(usize, usize), Micros>,
+    log_position: Vec<usize>,
+    received_at: BTreeMap<(usize, usize), Micros>,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
+enum Action {
     /// Half a second passes; zone 1 works or does not.
-    Pass(bool),
+    Elapse(bool),
     Fact(usize, usize),
-    /// A word of the log arrives.
+    /// The next log entry arrives.
     Log(usize),
-    /// The oldest word of the log arrives again.
-    Again(usize),
-    /// All words arrive that are under way, but for those to one node.
-    AllBut(usize),
+    /// The oldest log entry arrives again.
+    Repeat(usize),
+    /// All outstanding messages arrive, except those to one node.
+    AllExceptTo(usize),
 }
 
-impl World {
-    fn new() -> World {
+impl Model {
+    fn new() -> Model {
         let members: BTreeMap<u32, ZoneId> = (0..3).map(|id| (id, ZoneId((id % 2) as u16))).collect();
-        let node = |me| Zones::new(Settings { enough: 4, clear: 0, ..Settings::new(me, members.clone(), 2) });
+        let node =
+            |me| Zones::new(Settings { min_settled: 4, clear: 0, ..Settings::new(me, members.clone(), 2) });
         let nodes = (0..3).map(node).collect();
         let facts = vec![(0, Vec::new()); 3];
-        let mut world =
-            World { now: 0, nodes, facts, log: Vec::new(), read: vec![0; 3], heard: BTreeMap::new() };
+        let mut model = Model {
+            now: 0,
+            nodes,
+            facts,
+            log: Vec::new(),
+            log_position: vec![0; 3],
+            received_at: BTreeMap::new(),
+        };
         for node in 0..3 {
             for zone in 0..2 {
                 let servers = vec![Server { capacity: 100.0, started: -100 * S }; 2];
-                world.give(node, Input::Servers { zone: ZoneId(zone), servers }).unwrap();
+                model.deliver(node, Input::Servers { zone: ZoneId(zone), servers }).unwrap();
             }
         }
         for _ in 0..10 {
-            world.act(Act::Pass(true)).unwrap();
-            world.spread();
+            model.apply(Action::Elapse(true)).unwrap();
+            model.deliver_all_facts();
         }
-        world
+        model
     }
 
-    fn spread(&mut self) {
+    fn deliver_all_facts(&mut self) {
         for from in 0..3 {
             for to in 0..3 {
-                self.act(Act::Fact(from, to)).unwrap();
+                self.apply(Action::Fact(from, to)).unwrap();
             }
         }
     }
 
-    fn give(&mut self, node: usize, input: Input) -> Result<(), String> {
+    fn deliver(&mut self, node: usize, input: Input) -> Result<(), String> {
         let mut out = Vec::new();
         let before = self.nodes[node].step().number;
         self.nodes[node].handle(self.now, input, &mut out);
@@ -70,10 +77,10 @@
             match output {
                 Output::Publish(bytes) => self.facts[node] = (self.now, bytes),
                 Output::Propose(step) => {
-                    let heard = |other: usize| {
-                        self.heard.get(&(other, node)).is_some_and(|at| self.now - at <= 3 * S)
+                    let received_at = |other: usize| {
+                        self.received_at.get(&(other, node)).is_some_and(|at| self.now - at <= 3 * S)
                     };
-                    if (0..3).filter(|other| *other == node || heard(*other)).count() < 2 {
+                    if (0..3).filter(|other| *other == node || received_at(*other)).count() < 2 {
                         return Err(format!("node {node} alone proposed {step:?}"));
                     }
                     self.log.push(step);
@@ -86,56 +93,60 @@
             self.nodes.iter().map(|node| (node.step().number, node.step())).collect();
         match self.nodes.iter().all(|node| held.get(&node.step().number) == Some(&node.step())) {
             true => Ok(()),
-            false => Err("two steps of one number".into()),
+            false => Err("two different steps with the same number".into()),
         }
     }
 
-    fn act(&mut self, act: Act) -> Result<(), String> {
-        match act {
-            Act::Pass(well) => {
+    fn apply(&mut self, action: Action) -> Result<(), String> {
+        match action {
+            Action::Elapse(healthy) => {
                 self.now += S / 2;
                 for node in 0..3 {
                     for zone in 0..2 {
                         for server in [0, 1, 0, 1] {
-                            let what = if well || zone == 0 { What::Answered } else { What::Reset };
-                            for what in [What::Sent, what] {
+                            let outcome =
+                                if healthy || zone == 0 { Outcome::Answered } else { Outcome::Reset };
+                            for outcome in [Outcome::Sent, outcome] {
                                 let zone = ZoneId(zone);
-                                self.give(
+                                self.deliver(
                                     node,
-                                    Input::Outcome { zone, server, what, waited: 0, worth: 10, cost: 1 },
+                                    Input::Outcome { zone, server, outcome, waited: 0, worth: 10, cost: 1 },
                                 )?;
                             }
                         }
                     }
-                    self.give(node, Input::Timeout)?;
+                    self.deliver(node, Input::Timeout)?;
                 }
             }
-            Act::Fact(from, to) => {
+            Action::Fact(from, to) => {
                 let (made, bytes) = self.facts[from].clone();
                 if from != to && Fact::decode(&bytes).is_some() {
-                    self.heard.insert((from, to), made);
-                    self.give(to, Input::Heard { origin: from as u32, age: self.now - made, bytes })?;
+                    self.received_at.insert((from, to), made);
+                    self.deliver(
+                        to,
+                        Input::FactReceived { origin: from as u32, age: self.now - made, bytes },
+                    )?;
                 }
             }
-            Act::Log(node) => {
-                if let Some(step) = self.log.get(self.read[node]).cloned() {
-                    self.read[node] += 1;
-                    self.give(node, Input::Agreed(step))?;
+            Action::Log(node) => {
+                if let Some(step) = self.log.get(self.log_position[node]).cloned() {
+                    self.log_position[node] += 1;
+                    self.deliver(node, Input::Agreed(step))?;
                 }
             }
-            Act::AllBut(node) => {
+            Action::AllExceptTo(node) => {
                 for to in (0..3).filter(|to| *to != node) {
                     for from in 0..3 {
-                        self.act(Act::Fact(from, to))?;
+                        self.apply(Action::Fact(from, to))?;
                     }
-                    while self.read[to] < self.log.len() {
-                        self.act(Act::Log(to))?;
+                    while self.log_position[to] < self.log.len() {
+                        self.apply(Action::Log(to))?;
                     }
                 }
             }
-            Act::Again(node) => {
+            Action::Repeat(node) => {
                 if let Some(step) = self.log.first().cloned() {
-                    self.give(node, Input::Agreed(step))?;
+                    self.deliver(node, Input::Agreed(step))?;
                 }
             }
         }
@@ -149,27 +160,30 @@
     }
 }
 
-/// States seen, and the most steps that any came to.
+/// Returns the number of distinct states and the highest step number reached.
 fn explore(depth: usize) -> (usize, u64) {
-    let mut acts = vec![Act::Pass(false), Act::Pass(true)];
+    let mut actions = vec![Action::Elapse(false), Action::Elapse(true)];
     for node in 0..3 {
-        acts.extend([
-            Act::AllBut(node),
-            Act::Log(node),
-            Act::Again(node),
-            Act::Fact(node, (node + 1) % 3),
-            Act::Fact(node, (node + 2) % 3),
+        actions.extend([
+            Action::AllExceptTo(node),
+            Action::Log(node),
+            Action::Repeat(node),
+            Action::Fact(node, (node + 1) % 3),
+            Action::Fact(node, (node + 2) % 3),
         ]);
     }
-    let (mut seen, mut states, mut most) = (BTreeSet::new(), vec![World::new()], 0);
+    let (mut visited, mut states, mut max_steps) = (BTreeSet::new(), vec![Model::new()], 0);
     for _ in 0..depth {
         let mut next = Vec::new();
         for state in &states {
-            for act in &acts {
+            for action in &actions {
                 let mut state = state.clone();
-                state.act(*act).unwrap_or_else(|law| panic!("{law} after {act:?}: {state:?}"));
-                if seen.insert(state.digest()) {
-                    most = most.max(state.nodes.iter().map(|node| node.step().number).max().unwrap_or(0));
+                state
+                    .apply(*action)
+                    .unwrap_or_else(|violation| panic!("{violation} after {action:?}: {state:?}"));
+                if visited.insert(state.digest()) {
+                    max_steps =
+                        max_steps.max(state.nodes.iter().map(|node| node.step().number).max().unwrap_or(0));
                     next.push(state);
                 }
             }
@@ -177,19 +191,19 @@
         states = next;
     }
     for mut state in states {
-        // From wherever it is, words that arrive bring all to one step.
+        // From any state, delivering the outstanding log entries brings all nodes to the same step.
         for node in 0..3 {
-            while state.read[node] < state.log.len() {
-                state.act(Act::Log(node)).unwrap();
+            while state.log_position[node] < state.log.len() {
+                state.apply(Action::Log(node)).unwrap();
             }
         }
         assert!(state.nodes.windows(2).all(|pair| pair[0].step() == pair[1].step()));
     }
-    (seen.len(), most)
+    (visited.len(), max_steps)
 }
 
 #[test]
-fn every_order_of_words_keeps_the_laws() {
+fn keeps_invariants_in_every_message_order_at_depth_4() {
     let (states, steps) = explore(4);
     println!("{states} states at depth 4, {steps} steps");
     assert!(steps >= 1);
@@ -197,7 +211,7 @@
 
 #[test]
 #[ignore = "deeper, for a release build"]
-fn every_order_of_words_keeps_the_laws_deeper() {
+fn keeps_invariants_in_every_message_order_at_depth_7() {
     let (states, steps) = explore(7);
     println!("{states} states at depth 7, {steps} steps");
 }
