--- a/crates/lemoncleat-consistency/benches/cost.rs
+++ b/crates/lemoncleat-consistency/benches/cost.rs
@@ -1,4 +1,4 @@
-//! What sealing, playing and the generated cases cost, as ratios in one run. Not a test of any limit.
+//! Measures the cost of sealing, playing and generated cases as ratios within one run. Tests no limit.
 
 use std::time::Instant;
 
@@ -14,9 +14,9 @@
     let rules = Rules { settings, plan: Vec::new() };
     let (version, plan) = (rules.version(), rules.plan_digest());
 
-    let began = Instant::now();
+    let start = Instant::now();
     std::hint::black_box(Cases::<Controller>::tree(&rules));
-    println!("generated cases: {} of {} events: {:.1} ms", CASES, STEPS, ms(began));
+    println!("generated cases: {} of {} events: {:.1} ms", CASES, STEPS, ms(start));
 
     let mut controller = Controller::new(rules.settings.clone(), 1).expect("settings");
     let mut actions = Vec::new();
@@ -36,48 +36,49 @@
             let call = Call { id: CallId(id), patience: 6_000_000, width: 1.0, ..Call::default() };
             controller.handle(id as Micros, Event::Call(call), &mut actions);
         }
-        let bounds = Bounds { every: 0, ..Bounds::default() };
+        let bounds = Bounds { interval: 0, ..Bounds::default() };
         let mut recorder = Recorder::new(0, bounds);
-        let began = Instant::now();
+        let start = Instant::now();
         assert!(recorder.open(0, version, plan, &controller));
-        let open = ms(began);
+        let open = ms(start);
         let mut work = controller.clone();
-        let (mut plain, mut noted) = (0.0, 0.0);
+        let (mut work_ms, mut recording) = (0.0, 0.0);
         for step in 0..1_000_u64 {
             let now = 20_000 + step as Micros * 100;
             let id = CallId(1_000_000 + step);
             let call = Call { id, patience: 6_000_000, width: 1.0, ..Call::default() };
             let event = Event::Call(call);
-            let began = Instant::now();
-            recorder.event(now, &event);
-            noted += ms(began);
+            let start = Instant::now();
+            recorder.record_event(now, &event);
+            recording += ms(start);
             actions.clear();
-            let began = Instant::now();
+            let start = Instant::now();
             work.handle(now, event, &mut actions);
-            plain += ms(began);
-            let began = Instant::now();
-            recorder.acted(now, &actions);
-            noted += ms(began);
+            work_ms += ms(start);
+            let start = Instant::now();
+            recorder.record_actions(now, &actions);
+            recording += ms(start);
         }
-        let began = Instant::now();
+        let start = Instant::now();
         let window = recorder.close(&work).expect("a window");
-        let close = ms(began);
+        let close = ms(start);
         let bytes = window.to_bytes();
-        let began = Instant::now();
+        let start = Instant::now();
         let played = window.play::<Controller>(&rules);
-        let play = ms(began);
+        let play = ms(start);
         println!(
-            "{SERVERS} servers, {} calls: {} bytes for {} steps; opened {open:.2} ms, closed {close:.2} ms, taken down \
-             {:.2} us a step, work {:.2} us a step (taking down / work = {:.4}); played {played:?} in {play:.1} ms \
+            "{SERVERS} servers, {} calls: {} bytes for {} steps; opened {open:.2} ms, closed {close:.2} ms, \
+             recording {:.2} us a step, work {:.2} us a step (recording / work = {:.4}); \
+             played {played:?} in {play:.1} ms \
              (played / work = {:.2}); at most {:.3} % of a core, one window in 30 s",
             controller.sizes().calls,
             bytes.len(),
             window.len(),
-            noted,
-            plain,
-            noted / plain,
-            play / plain,
-            (open + close + noted) / 300.0,
+            recording,
+            work_ms,
+            recording / work_ms,
+            play / work_ms,
+            (open + close + recording) / 300.0,
         );
     }
 }
--- a/crates/lemoncleat-consistency/build.rs
+++ b/crates/lemoncleat-consistency/build.rs
@@ -1,5 +1,5 @@
-//! With the feature `faults`: a copy of the decision module with one constant changed, for the tests that plant
-//! such a module under an unchanged version.
+//! With the feature `faults`, builds a copy of the decision module with one constant changed, for tests that
+//! run such a module under an unchanged version.
 
 use std::path::Path;
 
@@ -9,13 +9,13 @@
         return;
     }
     let sources = Path::new("../lemoncleat/src");
-    let out = std::env::var("OUT_DIR").expect("cargo names it");
+    let out = std::env::var("OUT_DIR").expect("OUT_DIR is set by cargo");
     let mut text = String::new();
     for file in ["random.rs", "state.rs", "decide.rs"] {
         let path = sources.join(file);
         println!("cargo:rerun-if-changed={}", path.display());
-        let source = std::fs::read_to_string(&path).expect("the module's sources");
-        // Its own tests, and the list of the true module's sources, stay out.
+        let source = std::fs::read_to_string(&path).expect("the module's sources can be read");
+        // Leaves out the module's own tests and the list of its sources.
         let source = source.split("#[cfg(test)]").next().unwrap_or_default();
         let mut module = String::new();
         let mut skip = false;
@@ -31,11 +31,11 @@
             .replace("crate::interface::*", "lemoncleat::*")
             .replace("use crate::", "use super::")
             .replace("pub(crate)", "pub");
-        let (name, _) = file.split_once('.').expect("a name");
+        let (name, _) = file.split_once('.').expect("a file name with an extension");
         let serde = if name == "decide" { "use serde::{Deserialize, Serialize};\n" } else { "" };
         text += &format!("pub mod {name} {{\n{serde}{module}}}\n");
     }
     let changed = text.replacen("const OWN: f64 = 0.5;", "const OWN: f64 = 0.55;", 1);
     assert_ne!(changed, text, "the constant to change is no longer there");
-    std::fs::write(Path::new(&out).join("patched.rs"), changed).expect("a place to write to");
+    std::fs::write(Path::new(&out).join("patched.rs"), changed).expect("patched.rs can be written");
 }
--- a/crates/lemoncleat-consistency/src/cases.rs
+++ b/crates/lemoncleat-consistency/src/cases.rs
@@ -1,5 +1,5 @@
-//! Generated cases: streams of events that follow from the version alone, with a small model of servers behind
-//! the controller, so that long histories come about.
+//! Generated cases: streams of events derived from the version alone, with a small model of servers behind
+//! the controller that produces long histories.
 
 use std::collections::BTreeMap;
 use std::marker::PhantomData;
@@ -17,10 +17,10 @@
 /// Events in each case.
 pub const STEPS: u32 = 256;
 
-/// Numbers that follow from a seed, the same in every build.
-struct Draw(u64);
+/// A pseudo-random generator with the same numbers for a seed in every build.
+struct Generator(u64);
 
-impl Draw {
+impl Generator {
     fn bits(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut bits = self.0;
@@ -29,48 +29,48 @@
         bits ^ (bits >> 31)
     }
 
-    /// A number from 0 up to `end`, which is left out.
+    /// Returns a number from 0 to `end`, exclusive.
     fn below(&mut self, end: u64) -> u64 {
         ((u128::from(self.bits()) * u128::from(end.max(1))) >> 64) as u64
     }
 
-    fn span(&mut self, from: Micros, to: Micros) -> Micros {
+    fn between(&mut self, from: Micros, to: Micros) -> Micros {
         from + self.below((to - from).max(1) as u64) as Micros
     }
 
-    fn one_in(&mut self, many: u64) -> bool {
-        self.below(many) == 0
+    fn one_in(&mut self, count: u64) -> bool {
+        self.below(count) == 0
     }
 }
 
-/// What is to come to the controller.
-enum Coming {
+/// An event scheduled for the controller.
+enum Pending {
     Arrival,
-    Gone(CallId),
+    CallerGone(CallId),
     Timer(u64),
     Answer { call: CallId, attempt: u32, server: usize, sent: Micros },
     TimedOut { call: CallId, attempt: u32, server: usize, sent: Micros },
     Cancelled { call: CallId, attempt: u32, server: usize, sent: Micros },
     List,
-    Trouble,
+    ServerChange,
     Report,
     Note,
 }
 
-struct Model {
+struct ServerModel {
     id: ServerId,
     availability: Availability,
     started_at: Option<Micros>,
-    /// Work for one set-up, in microseconds.
+    /// Processing time of one set-up, in microseconds.
     unit: Micros,
     busy_until: Micros,
     lines: i64,
     used: i64,
-    hangs: bool,
+    unresponsive: bool,
     resets: bool,
 }
 
-impl Model {
+impl ServerModel {
     fn report(&self, now: Micros) -> Report {
         let wait = (self.busy_until - now).max(0);
         let (free, lines) = (Some((self.lines - self.used).max(0) as f64), Some(self.lines as f64));
@@ -79,7 +79,7 @@
     }
 }
 
-struct Out {
+struct Attempt {
     attempt: u32,
     attempts: u32,
     server: usize,
@@ -87,12 +87,12 @@
 }
 
 struct Case {
-    draw: Draw,
+    generator: Generator,
     now: Micros,
-    agenda: BTreeMap<(Micros, u64), Coming>,
-    written: u64,
-    servers: Vec<Model>,
-    calls: BTreeMap<CallId, Option<Out>>,
+    queue: BTreeMap<(Micros, u64), Pending>,
+    sequence: u64,
+    servers: Vec<ServerModel>,
+    calls: BTreeMap<CallId, Option<Attempt>>,
     next_call: u64,
     gap: Micros,
     places: u64,
@@ -102,35 +102,36 @@
 
 impl Case {
     fn new(rules: &Rules, version: Digest, number: u32) -> Case {
-        let mut draw = Draw(version.seed() ^ (u64::from(number) + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
+        let mut generator =
+            Generator(version.seed() ^ (u64::from(number) + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
         let pools: u64 =
             rules.plan.iter().map(|entry| entry.pool).max().map_or(3, |most| most.clamp(0, 63) as u64 + 1);
-        let count = [1, 2, 3, 5, 8, 12][draw.below(6) as usize];
-        let unit = draw.span(500, 40_000);
-        let load = [20, 60, 95, 120, 300][draw.below(5) as usize];
-        let cold = draw.one_in(2);
-        let servers: Vec<Model> = (0..count)
-            .map(|id| Model {
+        let count = [1, 2, 3, 5, 8, 12][generator.below(6) as usize];
+        let unit = generator.between(500, 40_000);
+        let load = [20, 60, 95, 120, 300][generator.below(5) as usize];
+        let cold = generator.one_in(2);
+        let servers: Vec<ServerModel> = (0..count)
+            .map(|id| ServerModel {
                 id: ServerId(id),
                 availability: Availability::Ready,
-                started_at: (cold && draw.one_in(3)).then_some(0),
-                unit: draw.span(unit / 2 + 1, unit * 2),
+                started_at: (cold && generator.one_in(3)).then_some(0),
+                unit: generator.between(unit / 2 + 1, unit * 2),
                 busy_until: 0,
-                lines: draw.span(2, 60),
+                lines: generator.between(2, 60),
                 used: 0,
-                hangs: false,
+                unresponsive: false,
                 resets: false,
             })
             .collect();
-        // Of all nodes' calls a case plays what one node sends.
+        // A case contains the calls of one node.
         let gap = (unit * 100 / load / Micros::from(count)).max(50);
         let plan = rules.plan.iter().map(|entry| (entry.class, entry.pool)).collect();
         let classes = rules.settings.classes.iter().map(|class| (class.aim, class.deadline)).collect();
         let mut case = Case {
-            draw,
+            generator,
             now: 0,
-            agenda: BTreeMap::new(),
-            written: 0,
+            queue: BTreeMap::new(),
+            sequence: 0,
             servers,
             calls: BTreeMap::new(),
             next_call: 1,
@@ -139,22 +140,23 @@
             plan,
             classes,
         };
-        for (at, coming) in [(0, Coming::List), (gap, Coming::Arrival), (20 * gap, Coming::Trouble)] {
-            case.write(at, coming);
+        for (at, pending) in [(0, Pending::List), (gap, Pending::Arrival), (20 * gap, Pending::ServerChange)]
+        {
+            case.schedule(at, pending);
         }
-        case.write(30 * gap, Coming::Report);
-        case.write(170 * gap, Coming::Note);
+        case.schedule(30 * gap, Pending::Report);
+        case.schedule(170 * gap, Pending::Note);
         case
     }
 
-    fn write(&mut self, after: Micros, coming: Coming) {
-        self.written += 1;
-        self.agenda.insert((self.now.saturating_add(after.max(0)), self.written), coming);
+    fn schedule(&mut self, after: Micros, pending: Pending) {
+        self.sequence += 1;
+        self.queue.insert((self.now.saturating_add(after.max(0)), self.sequence), pending);
     }
 
-    /// The list: a server's place, zone and kind follow from its number.
+    /// The server list. A server's place, zone and kind are derived from its number.
     fn list(&self) -> Vec<Member> {
-        let member = |server: &Model| Member {
+        let member = |server: &ServerModel| Member {
             server: server.id,
             availability: server.availability,
             started_at: server.started_at,
@@ -165,56 +167,56 @@
         self.servers.iter().map(member).collect()
     }
 
-    /// The next event for the controller; `None` once nothing is left to come.
+    /// Returns the next event for the controller; `None` if none is left.
     fn next(&mut self) -> Option<Event> {
         loop {
-            let ((at, _), coming) = self.agenda.pop_first()?;
+            let ((at, _), pending) = self.queue.pop_first()?;
             self.now = at;
-            if let Some(event) = self.happen(coming) {
+            if let Some(event) = self.process(pending) {
                 return Some(event);
             }
         }
     }
 
-    fn happen(&mut self, coming: Coming) -> Option<Event> {
+    fn process(&mut self, pending: Pending) -> Option<Event> {
         let now = self.now;
-        match coming {
-            Coming::Arrival => {
-                let gap = self.draw.span(1, 2 * self.gap);
-                self.write(gap, Coming::Arrival);
+        match pending {
+            Pending::Arrival => {
+                let gap = self.generator.between(1, 2 * self.gap);
+                self.schedule(gap, Pending::Arrival);
                 Some(self.arrival())
             }
-            Coming::Gone(call) => self.calls.remove(&call).map(|_| Event::CallerGone(call)),
-            Coming::Timer(token) => Some(Event::Timer(token)),
-            Coming::List => {
-                let fails = now > 0 && self.draw.one_in(8);
+            Pending::CallerGone(call) => self.calls.remove(&call).map(|_| Event::CallerGone(call)),
+            Pending::Timer(token) => Some(Event::Timer(token)),
+            Pending::List => {
+                let fails = now > 0 && self.generator.one_in(8);
                 Some(Event::Members(if fails {
                     MemberNews::Failed
                 } else {
                     MemberNews::Complete(self.list())
                 }))
             }
-            Coming::Note => {
-                self.write(170 * self.gap, Coming::Note);
-                Some(Event::Note { from: 1, bytes: vec![self.draw.below(256) as u8; 8] })
+            Pending::Note => {
+                self.schedule(170 * self.gap, Pending::Note);
+                Some(Event::Note { from: 1, bytes: vec![self.generator.below(256) as u8; 8] })
             }
-            Coming::Report => {
-                self.write(30 * self.gap, Coming::Report);
-                let which = self.draw.below(self.servers.len() as u64) as usize;
+            Pending::Report => {
+                self.schedule(30 * self.gap, Pending::Report);
+                let which = self.generator.below(self.servers.len() as u64) as usize;
                 let server = self.servers.get(which)?;
                 let (server, report) = (server.id, server.report(now));
                 Some(Event::Probed { server, outcome: Outcome::Ok, lag: 0, report })
             }
-            Coming::Trouble => {
-                let after = self.draw.span(self.gap, 60 * self.gap);
-                self.write(after, Coming::Trouble);
-                self.trouble()
+            Pending::ServerChange => {
+                let after = self.generator.between(self.gap, 60 * self.gap);
+                self.schedule(after, Pending::ServerChange);
+                self.change_server()
             }
-            Coming::Answer { call, attempt, server, sent } => self.answer(call, attempt, server, sent),
-            Coming::TimedOut { call, attempt, server, sent } => {
+            Pending::Answer { call, attempt, server, sent } => self.answer(call, attempt, server, sent),
+            Pending::TimedOut { call, attempt, server, sent } => {
                 self.end(call, attempt, server, sent, Outcome::TimedOut, Reason::None)
             }
-            Coming::Cancelled { call, attempt, server, sent } => {
+            Pending::Cancelled { call, attempt, server, sent } => {
                 self.end(call, attempt, server, sent, Outcome::Cancelled, Reason::None)
             }
         }
@@ -223,36 +225,36 @@
     fn arrival(&mut self) -> Event {
         let id = CallId(self.next_call);
         self.next_call += 1;
-        let class = self.draw.below(self.classes.len() as u64) as usize;
-        let mut class = (class, self.draw.below(self.places) as i64);
-        if !self.plan.is_empty() && self.draw.one_in(2) {
-            class = self.plan[self.draw.below(self.plan.len() as u64) as usize];
+        let class = self.generator.below(self.classes.len() as u64) as usize;
+        let mut class = (class, self.generator.below(self.places) as i64);
+        if !self.plan.is_empty() && self.generator.one_in(2) {
+            class = self.plan[self.generator.below(self.plan.len() as u64) as usize];
         }
         let (class, destination) = class;
-        // An entry of the plan may name a class that is not there: the module must say so.
+        // An entry of the plan may refer to a class that does not exist; the module must report this.
         let (aim, deadline) = self.classes.get(class).copied().unwrap_or((1_000_000, 2_000_000));
         let mut patience = (2 * aim).min(deadline);
-        if self.draw.one_in(6) {
-            patience = self.draw.span(aim / 2, deadline + 1);
+        if self.generator.one_in(6) {
+            patience = self.generator.between(aim / 2, deadline + 1);
         }
-        if self.draw.one_in(12) {
-            let after = self.draw.span(1, patience);
-            self.write(after, Coming::Gone(id));
+        if self.generator.one_in(12) {
+            let after = self.generator.between(1, patience);
+            self.schedule(after, Pending::CallerGone(id));
         }
-        let (redialled, cut) = (self.draw.one_in(7), self.draw.one_in(25));
-        let width = if self.draw.one_in(9) { 2.0 } else { 1.0 };
+        let (redialled, cut) = (self.generator.one_in(7), self.generator.one_in(25));
+        let width = if self.generator.one_in(9) { 2.0 } else { 1.0 };
         self.calls.insert(id, None);
         Event::Call(Call { id, class, patience, width, destination, redialled, cut, ..Call::default() })
     }
 
-    /// Something changes at a server. The list tells of some of it.
-    fn trouble(&mut self) -> Option<Event> {
-        let (now, which) = (self.now, self.draw.below(self.servers.len() as u64) as usize);
-        let kind = self.draw.below(7);
-        let whole = self.draw.one_in(3);
+    /// Changes a server. Some of the changes appear in the server list.
+    fn change_server(&mut self) -> Option<Event> {
+        let (now, which) = (self.now, self.generator.below(self.servers.len() as u64) as usize);
+        let kind = self.generator.below(7);
+        let complete_list = self.generator.one_in(3);
         let server = self.servers.get_mut(which)?;
         match kind {
-            0 => server.hangs = !server.hangs,
+            0 => server.unresponsive = !server.unresponsive,
             1 => server.resets = !server.resets,
             2 => server.busy_until = now.max(server.busy_until) + 200 * server.unit,
             3 => server.availability = Availability::Draining,
@@ -260,14 +262,14 @@
             _ => {
                 let (availability, started_at) = (Availability::Ready, (kind == 5).then_some(now));
                 let busy_until = if kind == 5 { now } else { server.busy_until };
-                (server.availability, server.hangs, server.resets) = (availability, false, false);
+                (server.availability, server.unresponsive, server.resets) = (availability, false, false);
                 (server.started_at, server.busy_until) = (started_at.or(server.started_at), busy_until);
             }
         }
         let list = self.list();
         match kind {
             0..=2 => None,
-            _ if whole => Some(Event::Members(MemberNews::Complete(list))),
+            _ if complete_list => Some(Event::Members(MemberNews::Complete(list))),
             _ => Some(Event::Members(MemberNews::Changes(list.into_iter().skip(which).take(1).collect()))),
         }
     }
@@ -275,11 +277,11 @@
     fn answer(&mut self, call: CallId, attempt: u32, which: usize, sent: Micros) -> Option<Event> {
         let now = self.now;
         let server = self.servers.get_mut(which)?;
-        let late = server.busy_until - now;
-        let (outcome, reason) = match self.draw.below(40) {
+        let queued = server.busy_until - now;
+        let (outcome, reason) = match self.generator.below(40) {
             _ if server.resets => (Outcome::Reset, Reason::None),
             _ if server.availability == Availability::Gone => (Outcome::Unreachable, Reason::None),
-            _ if late > 100 * server.unit => (Outcome::Full, Reason::ProcessorFull { wait: late }),
+            _ if queued > 100 * server.unit => (Outcome::Full, Reason::ProcessorFull { wait: queued }),
             _ if server.used >= server.lines => (Outcome::Full, Reason::NoCircuit),
             0 => (Outcome::Error, Reason::LinesBusy),
             1 => (Outcome::Error, Reason::None),
@@ -295,7 +297,7 @@
             return None;
         }
         server.used += 1;
-        if self.draw.one_in(3) {
+        if self.generator.one_in(3) {
             server.used = (server.used - 3).max(0); // Some calls end.
         }
         let server = server.id;
@@ -322,24 +324,24 @@
         Some(Event::Ended { call, attempt, server, outcome, lag, closed, reason, report })
     }
 
-    /// Carries out what the controller asks for.
-    fn carry_out(&mut self, actions: &[Action]) {
+    /// Applies the controller's actions.
+    fn apply_actions(&mut self, actions: &[Action]) {
         let now = self.now;
         for action in actions {
             match *action {
                 Action::Send { call, server, timeout } => self.send(call, server, timeout),
                 Action::Refuse { call, .. } | Action::Fail(call) => _ = self.calls.remove(&call),
                 Action::Cancel { call, attempt } => {
-                    let Some(Some(Out { server, sent, .. })) = self.calls.get(&call) else { continue };
+                    let Some(Some(Attempt { server, sent, .. })) = self.calls.get(&call) else { continue };
                     let (server, sent) = (*server, *sent);
-                    self.write(1_000, Coming::Cancelled { call, attempt, server, sent });
+                    self.schedule(1_000, Pending::Cancelled { call, attempt, server, sent });
                 }
                 Action::Timer { token, delay } => {
-                    // Now and then the node gets no turn.
-                    let late = if self.draw.one_in(50) { self.draw.span(0, 400_000) } else { 0 };
-                    self.write(delay + late, Coming::Timer(token));
+                    // Occasionally a timer fires late, as if the node had not been scheduled.
+                    let late = if self.generator.one_in(50) { self.generator.between(0, 400_000) } else { 0 };
+                    self.schedule(delay + late, Pending::Timer(token));
                 }
-                Action::Watch(true) | Action::Fetch => self.write(5_000, Coming::List),
+                Action::Watch(true) | Action::Fetch => self.schedule(5_000, Pending::List),
                 Action::Probe(_) | Action::Watch(false) | Action::Tell { .. } | Action::Log(_) => {}
             }
         }
@@ -348,27 +350,27 @@
 
     fn send(&mut self, call: CallId, to: ServerId, timeout: Micros) {
         let (now, which) = (self.now, to.0 as usize);
-        let way = self.draw.span(300, 3_000);
+        let network_delay = self.generator.between(300, 3_000);
         let Some(state) = self.calls.get_mut(&call) else { return };
         let attempts = state.as_ref().map_or(0, |out| out.attempts);
         let attempt = attempts;
-        *state = Some(Out { attempt, attempts: attempts + 1, server: which, sent: now });
+        *state = Some(Attempt { attempt, attempts: attempts + 1, server: which, sent: now });
         let limit = if timeout > 0 { timeout } else { 4_000_000 };
         let Some(server) = self.servers.get_mut(which) else { return };
-        // A server that started of late does less.
+        // A recently started server is slower.
         let cold = server.started_at.is_some_and(|at| now - at < 5_000_000);
         server.busy_until = now.max(server.busy_until) + server.unit * if cold { 3 } else { 1 };
-        let (hangs, lag) = (server.hangs, server.busy_until - now + way);
+        let (unresponsive, lag) = (server.unresponsive, server.busy_until - now + network_delay);
         let (server, sent) = (which, now);
-        if hangs || lag > limit {
-            self.write(limit, Coming::TimedOut { call, attempt, server, sent });
+        if unresponsive || lag > limit {
+            self.schedule(limit, Pending::TimedOut { call, attempt, server, sent });
         } else {
-            self.write(lag, Coming::Answer { call, attempt, server, sent });
+            self.schedule(lag, Pending::Answer { call, attempt, server, sent });
         }
     }
 }
 
-/// Plays a case, handing each step's number, moment, event and actions to `each`.
+/// Plays a case and calls `each` with each step's number, time, event and actions.
 fn play<D: Decider>(
     rules: &Rules,
     version: Digest,
@@ -376,7 +378,7 @@
     mut each: impl FnMut(u32, Micros, &Event, &[Action]),
 ) {
     let mut settings = rules.settings.clone();
-    // It names the node, and must not tell two nodes' cases apart.
+    // The number identifies the node; the cases must be the same at all nodes.
     settings.own_number = 0;
     let Some(mut decider) = D::fresh(&settings, version.seed() ^ u64::from(number)) else { return };
     let (mut case, mut actions) = (Case::new(rules, version, number), Vec::new());
@@ -385,18 +387,18 @@
         actions.clear();
         decider.decide(case.now, event.clone(), &mut actions);
         each(step, case.now, &event, &actions);
-        case.carry_out(&actions);
+        case.apply_actions(&actions);
     }
 }
 
-/// The digests of each step's actions in a case.
-pub fn replay<D: Decider>(rules: &Rules, case: u32) -> Vec<u64> {
+/// Returns the digest of each step's actions in a case.
+pub fn step_digests<D: Decider>(rules: &Rules, case: u32) -> Vec<u64> {
     let mut digests = Vec::with_capacity(STEPS as usize);
     play::<D>(rules, rules.version(), case, |_, _, _, actions| digests.push(digest_actions(actions)));
     digests
 }
 
-/// A step of a case as text for a log: what came, and what was done.
+/// Returns the event and the actions of a step as text for a log.
 pub fn describe<D: Decider>(rules: &Rules, case: u32, step: u32) -> String {
     let mut text = String::new();
     play::<D>(rules, rules.version(), case, |at, now, event, actions| {
@@ -407,7 +409,7 @@
     text.chars().take(1_000).collect()
 }
 
-/// All cases of a version, played a few at a time where nobody waits.
+/// All cases of a version, played a few at a time on a thread that delays no calls.
 pub struct Cases<D> {
     rules: Rules,
     version: Digest,
@@ -416,12 +418,12 @@
 }
 
 impl<D: Decider> Cases<D> {
-    /// The cases of these rules, none played yet.
+    /// Prepares the cases of these rules without playing any.
     pub fn new(rules: &Rules) -> Cases<D> {
         Cases { rules: rules.clone(), version: rules.version(), leaves: Vec::new(), decider: PhantomData }
     }
 
-    /// Plays this many more, and gives the tree once all are played.
+    /// Plays this many more cases and returns the tree once all have been played.
     pub fn advance(&mut self, cases: u32) -> Option<Tree> {
         for _ in 0..cases {
             let number = self.leaves.len() as u32;
@@ -437,7 +439,7 @@
         (self.leaves.len() as u32 == CASES).then(|| Tree::new(&self.leaves))
     }
 
-    /// The tree, all cases played at once.
+    /// Plays all cases at once and returns the tree.
     pub fn tree(rules: &Rules) -> Tree {
         let mut cases = Cases::<D>::new(rules);
         cases.advance(CASES).unwrap_or_else(|| Tree::new(&[]))
--- a/crates/lemoncleat-consistency/src/checker.rs
+++ b/crates/lemoncleat-consistency/src/checker.rs
@@ -1,4 +1,4 @@
-//! Compares nodes of one version and says what follows for the own one.
+//! Compares nodes of one version and decides what follows for this node.
 
 mod descent;
 mod fence;
@@ -12,229 +12,234 @@
 
 use crate::cases::CASES;
 use crate::tree::Tree;
-use crate::version::{arithmetic, Digest, Rules};
+use crate::version::{arithmetic_fingerprint, Digest, Rules};
 use crate::window::{Decider, Difference, Played, Unplayable};
-use crate::words::{read, write, Message, Word, MOST_DIRECT, MOST_FACT};
+use crate::words::{decode, encode, Message, Statement, MAX_DIRECT_BYTES, MAX_FACT_BYTES};
 
 use descent::Descent;
 use fence::Fencing;
 use verdict::Verdicts;
-use windows::{Incoming, Outgoing};
+use windows::{IncomingWindow, OutgoingWindow};
 
-/// Time between two looks, in microseconds.
-pub(crate) const LOOK: Micros = 1_000_000;
+/// Time between two checks, in microseconds.
+pub(crate) const CHECK_INTERVAL_US: Micros = 1_000_000;
 
-/// What the operator allows. Times in microseconds.
+/// Limits set by the operator. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Whether a node may fence itself.
     pub fences: bool,
-    /// Most of the fleet's members fenced at once, in hundredths. Rounded down; eight nodes at most.
+    /// Maximum share of the fleet's members fenced at once, in hundredths. Rounded down, and never more than
+    /// eight nodes.
     pub share: u32,
-    /// What a refused caller is told about when to come back.
+    /// The time after which a refused caller is told to come back.
     pub come_back: Micros,
-    /// How long a word counts. A node without a turn for half of it hears all others anew.
-    pub life: Micros,
-    /// Time between two tellings of an unchanged word.
-    pub every: Micros,
-    /// Most bytes of another's window.
-    pub window: usize,
+    /// Time for which a statement is valid. A node that was not scheduled for half of it discards the
+    /// statements of all others.
+    pub statement_lifetime: Micros,
+    /// Interval at which an unchanged statement is published again.
+    pub publish_interval: Micros,
+    /// Maximum size of another node's window, in bytes.
+    pub max_window_bytes: usize,
 }
 
 impl Default for Limits {
-    /// No fence, a tenth of the fleet, words of 30 s told every 10 s, windows of 4 MiB.
+    /// No fencing, a tenth of the fleet, statements valid for 30 s and published every 10 s, windows of 4
+    /// MiB.
     fn default() -> Self {
         Limits {
             fences: false,
             share: 10,
             come_back: 30_000_000,
-            life: 30_000_000,
-            every: 10_000_000,
-            window: 4 << 20,
+            statement_lifetime: 30_000_000,
+            publish_interval: 10_000_000,
+            max_window_bytes: 4 << 20,
         }
     }
 }
 
-/// What a checker is told.
+/// Input to a checker.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// The rules in force from now on: at the start, and after a reload.
+    /// The rules in force from now on. Sent at the start and after each reload.
     Rules(Rules),
-    /// The tree that [`Output::Cases`] asked for.
+    /// The tree requested by [`Output::Cases`].
     Proved(Tree),
-    /// The members taken for alive, the own node left out or not.
+    /// The members considered alive, with or without this node.
     Alive(BTreeSet<u32>),
-    /// A fact of another node.
+    /// A fact published by another node.
     Heard {
-        /// Whose.
+        /// The node concerned.
         from: u32,
-        /// Which of its lives.
+        /// The node's incarnation.
         incarnation: u64,
-        /// How long ago it was said, in microseconds.
+        /// Age of the fact, in microseconds.
         age: Micros,
-        /// What it holds.
+        /// The content as bytes.
         bytes: Vec<u8>,
     },
-    /// A message of another node.
+    /// A message from another node.
     Direct {
-        /// Whose.
+        /// The node concerned.
         from: u32,
-        /// What it holds.
+        /// The content as bytes.
         bytes: Vec<u8>,
     },
-    /// A window of the own work was sealed.
+    /// A window of this node's own work was sealed.
     Sealed {
-        /// Its number.
+        /// The window's number.
         number: u32,
-        /// It, as bytes.
+        /// The window as bytes.
         window: Vec<u8>,
     },
-    /// What came of [`Output::Play`].
+    /// The result of [`Output::Play`].
     Played {
-        /// Whose window.
+        /// The node whose window it is.
         from: u32,
-        /// Its name there.
+        /// The window's id.
         id: u64,
-        /// The result.
+        /// The result of playing it.
         result: Result<Played, Unplayable>,
     },
-    /// Nothing but that time passed.
+    /// Only time has passed.
     Timeout,
 }
 
-/// What a checker wants done.
+/// Output of a checker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Make this the node's fact; 160 bytes at most.
+    /// Publish this as the node's fact; at most 160 bytes.
     Publish(Vec<u8>),
-    /// Send this to a node; 16 KiB at most. It may be lost.
+    /// Send this to a node; at most 16 KiB. The message may be lost.
     Direct {
-        /// To whom.
+        /// The receiver.
         to: u32,
-        /// What.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Play the generated cases of the rules in force, from a fresh start, where no call waits.
+    /// Play the generated cases of the rules in force from the start, on a thread that delays no calls.
     Cases,
-    /// Play a window by the rules in force, where no call waits. It may be the own one.
+    /// Play a window under the rules in force, on a thread that delays no calls. The window may be this
+    /// node's own.
     Play {
-        /// Whose window.
+        /// The node whose window it is.
         from: u32,
-        /// Its name, for [`Input::Played`].
+        /// The window's id, for [`Input::Played`].
         id: u64,
-        /// It, as bytes.
+        /// The window as bytes.
         window: Vec<u8>,
     },
-    /// Refuse new calls from now on, with this time to come back; or take them again. Standing ones live on.
+    /// Refuse new calls from now on with this time to come back, or accept them again if `None`. Established
+    /// calls continue.
     Fence(Option<Micros>),
-    /// Something for the log.
+    /// An event for the log.
     Notice(Notice),
 }
 
-/// Something that the operator should know.
+/// Events that are reported to the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notice {
-    /// The version that is in force here.
+    /// The version in force at this node.
     Version(Digest),
-    /// The fleet holds several versions, and since how long, in microseconds.
+    /// The fleet runs several versions.
     Versions {
-        /// How many.
+        /// Number of versions.
         count: usize,
-        /// For how long.
+        /// Time since when, in microseconds.
         held: Micros,
     },
-    /// It holds one again, after this long.
+    /// The fleet runs a single version again.
     OneVersion {
-        /// For how long it held several.
+        /// Time for which it ran several, in microseconds.
         held: Micros,
     },
-    /// A node of the own version came to another root than most.
+    /// A node of the same version has a different root than the majority.
     Odd {
-        /// Which; it may be the own one.
+        /// The node; it may be this one.
         node: u32,
-        /// How many agree against it.
+        /// Number of nodes that agree on the other root.
         against: usize,
-        /// Its mathematics library or processor computes otherwise, too: the likely cause.
+        /// Whether its mathematics library or processor also computes differently, which is the likely cause.
         arithmetic: bool,
     },
-    /// Nodes of the own version came to several roots, and no majority to one. Nobody is fenced.
+    /// Nodes of the same version have several roots, and none has a majority. No node is fenced.
     Undecided {
-        /// How many roots.
+        /// Number of roots.
         roots: usize,
-        /// How many nodes.
+        /// Number of nodes.
         nodes: usize,
     },
-    /// All nodes of the own version agree again.
+    /// All nodes of the same version agree again.
     Agreed,
-    /// The first case and step at which another node decides otherwise than this one.
+    /// The first case and step at which another node decides differently from this one.
     Differs {
         /// The other node.
         node: u32,
         /// The generated case.
         case: u32,
-        /// Its first step with other actions.
+        /// The first step with different actions.
         step: u32,
-        /// What came and what this node did.
+        /// The event, and the actions of this node.
         ours: String,
-        /// What came and what the other did.
+        /// The event, and the actions of the other node.
         theirs: String,
     },
-    /// Another node's window came out otherwise here.
+    /// Playing another node's window gave a different result here.
     Window {
-        /// Whose.
+        /// The node concerned.
         node: u32,
-        /// Its name: the first eight bytes of its digest.
+        /// The window's id: the first eight bytes of its digest.
         id: u64,
-        /// Where it parts.
+        /// The first difference.
         difference: Difference,
     },
-    /// Two others agree on where a window of this node's work parts from theirs.
+    /// Two other nodes agree on where a window of this node's work differs from their result.
     OwnWindow {
-        /// Its number.
+        /// The window's number.
         number: u32,
-        /// Where it parts.
+        /// The first difference.
         difference: Difference,
-        /// Who says so.
+        /// The two nodes.
         judges: [u32; 2],
-        /// What came of playing it again here.
+        /// The result of playing the window again at this node.
         again: Result<Played, Unplayable>,
     },
-    /// The judges of an own window don't agree: one of them may be wrong.
+    /// The judges of one of this node's windows disagree: one of them may be wrong.
     Split {
-        /// Its number.
+        /// The window's number.
         number: u32,
     },
-    /// A window could not be played. It says nothing against its node.
+    /// A window could not be played. This is no evidence against its node.
     Unplayable {
-        /// Whose.
+        /// The node concerned.
         node: u32,
-        /// Its name: the first eight bytes of its digest.
+        /// The window's id: the first eight bytes of its digest.
         id: u64,
-        /// Why.
+        /// The reason.
         why: Unplayable,
     },
-    /// The own cases were played a second time, before anything is made of a difference.
+    /// This node's cases were played a second time, before any conclusion is drawn from a difference.
     Checked {
-        /// They came to the same root as the first time.
+        /// Whether the root was the same as the first time.
         same: bool,
     },
     /// This node refuses new calls from now on.
     Fenced,
-    /// It ought to, but as many do so already as may.
+    /// This node should be fenced, but the maximum number of nodes already is.
     NotFenced,
-    /// It takes calls again.
+    /// This node accepts calls again.
     Unfenced,
 }
 
-/// What another node last said.
-pub(crate) struct Said {
+/// The last statement of another node.
+pub(crate) struct PeerState {
     incarnation: u64,
-    /// When it said so, on the own clock.
+    /// Time at which it was made, on this node's clock.
     at: Micros,
-    word: Word,
+    statement: Statement,
 }
 
-/// The checker of one node. `D` is what decides there.
+/// The checker of one node. `D` makes the decisions there.
 pub struct Checker<D> {
     me: u32,
     incarnation: u64,
@@ -242,33 +247,33 @@
     limits: Limits,
     now: Micros,
     started: Option<Micros>,
-    next_look: Micros,
+    next_check: Micros,
     rules: Option<Rules>,
     version: Digest,
     tree: Option<Tree>,
-    /// Cases are being played a second time.
+    /// Whether the cases are being played a second time.
     checking: bool,
     arithmetic: u32,
     alive: BTreeSet<u32>,
-    said: BTreeMap<u32, Said>,
-    published: Option<(Micros, Word)>,
+    peers: BTreeMap<u32, PeerState>,
+    published: Option<(Micros, Statement)>,
     verdicts: Verdicts,
     descent: Option<Descent>,
-    /// Descents that ended, by node and its root.
-    descended: BTreeMap<u32, Digest>,
-    /// Questions answered since the last look.
-    asked: u32,
-    outgoing: Option<Outgoing>,
-    incoming: BTreeMap<u32, Incoming>,
-    /// The last window of each node that was played, and what came of it.
-    judged: BTreeMap<u32, (u64, Result<Played, Unplayable>)>,
+    /// Completed descents, by node and its root.
+    finished_descents: BTreeMap<u32, Digest>,
+    /// Number of questions answered since the last check.
+    questions_answered: u32,
+    outgoing: Option<OutgoingWindow>,
+    incoming: BTreeMap<u32, IncomingWindow>,
+    /// The last window of each node that was played, and its result.
+    judgements: BTreeMap<u32, (u64, Result<Played, Unplayable>)>,
     fencing: Fencing,
-    unread: u64,
+    rejected_inputs: u64,
     decider: PhantomData<fn() -> D>,
 }
 
 impl<D: Decider> Checker<D> {
-    /// The checker of the node `me` in this incarnation. `members` are all nodes of the settings.
+    /// Creates the checker of the node `me` in this incarnation. `members` are all nodes in the settings.
     pub fn new(me: u32, incarnation: u64, members: BTreeSet<u32>, limits: Limits) -> Self {
         let fencing = Fencing::new(&limits, members.len());
         Checker {
@@ -278,93 +283,97 @@
             limits,
             now: Micros::MIN,
             started: None,
-            next_look: Micros::MIN,
+            next_check: Micros::MIN,
             rules: None,
             version: Digest::default(),
             tree: None,
             checking: false,
-            arithmetic: arithmetic(),
+            arithmetic: arithmetic_fingerprint(),
             alive: BTreeSet::new(),
-            said: BTreeMap::new(),
+            peers: BTreeMap::new(),
             published: None,
             verdicts: Verdicts::default(),
             descent: None,
-            descended: BTreeMap::new(),
-            asked: 0,
+            finished_descents: BTreeMap::new(),
+            questions_answered: 0,
             outgoing: None,
             incoming: BTreeMap::new(),
-            judged: BTreeMap::new(),
+            judgements: BTreeMap::new(),
             fencing,
-            unread: 0,
+            rejected_inputs: 0,
             decider: PhantomData,
         }
     }
 
-    /// Takes in what happened at the moment `now`.
+    /// Processes one input at the time `now`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        self.turn(now);
+        self.advance_clock(now);
         match input {
-            Input::Rules(rules) => self.rules(rules, out),
-            Input::Proved(tree) => self.proved(tree, out),
+            Input::Rules(rules) => self.set_rules(rules, out),
+            Input::Proved(tree) => self.set_tree(tree, out),
             Input::Alive(alive) => self.alive = alive,
-            Input::Heard { from, incarnation, age, bytes } => self.heard(from, incarnation, age, &bytes),
-            Input::Direct { from, bytes } => self.direct(from, &bytes, out),
-            Input::Sealed { number, window } => self.sealed(number, window, out),
-            Input::Played { from, id, result } => self.played(from, id, result, out),
+            Input::Heard { from, incarnation, age, bytes } => {
+                self.handle_statement(from, incarnation, age, &bytes)
+            }
+            Input::Direct { from, bytes } => self.handle_message(from, &bytes, out),
+            Input::Sealed { number, window } => self.send_window(number, window, out),
+            Input::Played { from, id, result } => self.handle_played(from, id, result, out),
             Input::Timeout => {}
         }
-        if self.now >= self.next_look {
-            self.next_look = self.now.saturating_add(LOOK);
-            self.look(out);
+        if self.now >= self.next_check {
+            self.next_check = self.now.saturating_add(CHECK_INTERVAL_US);
+            self.check(out);
         }
         self.publish(out);
     }
 
-    /// When it wants the next turn at the latest.
+    /// Returns the latest time at which the checker must be called again.
     pub fn wake(&self) -> Option<Micros> {
-        self.started.map(|_| self.next_look)
+        self.started.map(|_| self.next_check)
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     pub fn version(&self) -> Digest {
         self.version
     }
 
-    /// Whether the node is fenced.
+    /// Returns whether the node is fenced.
     pub fn fenced(&self) -> bool {
         self.fencing.fenced
     }
 
-    /// Messages and facts that could not be read, came from no member, or were beyond a limit.
-    pub fn unread(&self) -> u64 {
-        self.unread
+    /// Returns the number of messages and facts that were malformed, came from a node that is not a member,
+    /// or exceeded a limit.
+    pub fn rejected_inputs(&self) -> u64 {
+        self.rejected_inputs
     }
 
-    fn turn(&mut self, now: Micros) {
+    fn advance_clock(&mut self, now: Micros) {
         let now = now.max(self.now);
         let started = *self.started.get_or_insert(now);
-        if self.now >= started && now - self.now > self.limits.life / 2 {
-            // All that it knows of others is as old as its sleep was long.
-            self.said.values_mut().for_each(|said| said.at = Micros::MIN);
+        if self.now >= started && now - self.now > self.limits.statement_lifetime / 2 {
+            // The node was not scheduled for a long time, so its knowledge of the others is at least that
+            // old.
+            self.peers.values_mut().for_each(|peer| peer.at = Micros::MIN);
         }
         self.now = now;
     }
 
-    fn rules(&mut self, rules: Rules, out: &mut Vec<Output>) {
+    fn set_rules(&mut self, rules: Rules, out: &mut Vec<Output>) {
         self.version = rules.version();
         self.rules = Some(rules);
         self.tree = None;
         self.checking = false;
         self.descent = None;
-        self.descended.clear();
+        self.finished_descents.clear();
         self.outgoing = None;
         self.verdicts.reset();
-        self.fencing.withdraw();
+        self.fencing.reset_claim();
         out.push(Output::Notice(Notice::Version(self.version)));
         out.push(Output::Cases);
     }
 
-    fn proved(&mut self, tree: Tree, out: &mut Vec<Output>) {
+    fn set_tree(&mut self, tree: Tree, out: &mut Vec<Output>) {
         let before = self.tree.replace(tree).map(|tree| tree.root());
         if std::mem::take(&mut self.checking) {
             let same = before == self.root();
@@ -373,70 +382,71 @@
         }
     }
 
-    fn heard(&mut self, from: u32, incarnation: u64, age: Micros, bytes: &[u8]) {
-        let word = read::<Word>(bytes, MOST_FACT).filter(|_| self.members.contains(&from) && from != self.me);
-        let Some(word) = word else {
-            self.unread += 1;
+    fn handle_statement(&mut self, from: u32, incarnation: u64, age: Micros, bytes: &[u8]) {
+        let statement = decode::<Statement>(bytes, MAX_FACT_BYTES)
+            .filter(|_| self.members.contains(&from) && from != self.me);
+        let Some(statement) = statement else {
+            self.rejected_inputs += 1;
             return;
         };
         let at = self.now.saturating_sub(age.max(0));
-        if let Some(said) = self.said.get(&from) {
-            if (said.incarnation, said.at) > (incarnation, at) {
-                return; // A late word of an earlier life, or an earlier one of this.
+        if let Some(peer) = self.peers.get(&from) {
+            if (peer.incarnation, peer.at) > (incarnation, at) {
+                return; // A late statement of an earlier incarnation, or an older one of this.
             }
         }
-        if word.version == self.version {
+        if statement.version == self.version {
             lemoncleat_faults::point!(RULES_ROOT);
         }
-        self.consent(from, incarnation, &word);
-        self.said.insert(from, Said { incarnation, at, word });
+        self.update_consents(from, incarnation, &statement);
+        self.peers.insert(from, PeerState { incarnation, at, statement });
     }
 
-    fn direct(&mut self, from: u32, bytes: &[u8], out: &mut Vec<Output>) {
+    fn handle_message(&mut self, from: u32, bytes: &[u8], out: &mut Vec<Output>) {
         let known = self.members.contains(&from) && from != self.me;
-        let Some(message) = read::<Message>(bytes, MOST_DIRECT).filter(|_| known) else {
-            self.unread += 1;
+        let Some(message) = decode::<Message>(bytes, MAX_DIRECT_BYTES).filter(|_| known) else {
+            self.rejected_inputs += 1;
             return;
         };
         match message {
-            Message::Ask { .. } | Message::AskCase { .. } | Message::AskStep { .. } => {
-                self.asked(from, message, out)
+            Message::AskChildren { .. } | Message::AskCase { .. } | Message::AskStep { .. } => {
+                self.handle_question(from, message, out)
             }
             Message::Children { .. } | Message::Case { .. } | Message::Step { .. } => {
-                self.answered(from, message, out)
+                self.handle_answer(from, message, out)
             }
-            Message::Piece { id, index, of, bytes } => self.piece(from, id, index, of, bytes, out),
-            Message::Got { id, index } => self.got(from, id, index, out),
-            Message::Judged { id, result } => self.judged(from, id, Some(result), out),
-            Message::Busy { id } => self.judged(from, id, None, out),
+            Message::Piece { id, index, of, bytes } => self.handle_piece(from, id, index, of, bytes, out),
+            Message::PieceReceived { id, index } => self.handle_piece_received(from, id, index, out),
+            Message::Judged { id, result } => self.handle_judgement(from, id, Some(result), out),
+            Message::Busy { id } => self.handle_judgement(from, id, None, out),
         }
     }
 
-    fn look(&mut self, out: &mut Vec<Output>) {
-        self.asked = 0;
-        self.weigh(out);
+    fn check(&mut self, out: &mut Vec<Output>) {
+        self.questions_answered = 0;
+        self.evaluate_roots(out);
         self.descend(out);
-        self.resend(out);
-        self.mind_fence(out);
+        self.resend_pieces(out);
+        self.update_fence(out);
     }
 
     fn root(&self) -> Option<Digest> {
         self.tree.as_ref().map(Tree::root)
     }
 
-    /// What others that are alive said of late.
-    fn fresh(&self) -> impl Iterator<Item = (u32, &Said)> {
-        let since = self.now.saturating_sub(self.limits.life);
+    /// The valid statements of other nodes that are alive.
+    fn fresh(&self) -> impl Iterator<Item = (u32, &PeerState)> {
+        let since = self.now.saturating_sub(self.limits.statement_lifetime);
         let fresh =
-            self.said.iter().filter(move |(node, said)| said.at >= since && self.alive.contains(node));
-        fresh.map(|(&node, said)| (node, said))
+            self.peers.iter().filter(move |(node, peer)| peer.at >= since && self.alive.contains(node));
+        fresh.map(|(&node, peer)| (node, peer))
     }
 
     fn publish(&mut self, out: &mut Vec<Output>) {
         if self.rules.is_none() {
             return;
         }
-        let word = Word {
+        let statement = Statement {
             version: self.version,
             root: self.root(),
             arithmetic: self.arithmetic,
@@ -444,19 +454,21 @@
             fenced: self.fencing.fenced,
             consents: self.fencing.consents.clone(),
         };
-        let due = |(at, before): &(Micros, Word)| *before != word || self.now - at >= self.limits.every;
+        let due = |(at, before): &(Micros, Statement)| {
+            *before != statement || self.now - at >= self.limits.publish_interval
+        };
         if self.published.as_ref().is_none_or(due) {
             lemoncleat_faults::point!(RULES_VERSION);
-            out.push(Output::Publish(write(&word)));
-            self.published = Some((self.now, word));
+            out.push(Output::Publish(encode(&statement)));
+            self.published = Some((self.now, statement));
         }
     }
 
-    fn say(&self, to: u32, message: &Message, out: &mut Vec<Output>) {
-        out.push(Output::Direct { to, bytes: write(message) });
+    fn send(&self, to: u32, message: &Message, out: &mut Vec<Output>) {
+        out.push(Output::Direct { to, bytes: encode(message) });
     }
 
-    /// Whether a tree of another build could be meant.
+    /// Whether the case number is valid; a node of another build may use other numbers.
     fn case_in_range(case: u32) -> bool {
         case < CASES
     }
--- a/crates/lemoncleat-consistency/src/checker/fence.rs
+++ b/crates/lemoncleat-consistency/src/checker/fence.rs
@@ -1,9 +1,10 @@
-//! The fence, and the places at it.
+//! Fencing of this node, and the slots that limit it.
 //!
-//! The share that may be fenced is made of numbered places. A node that ought to be fenced claims one in its fact
-//! and takes it once more than half of all members consent. Each member consents to one node a place, until that
-//! node gives it up. Two majorities have a member in common, so a place is never held twice, whatever is lost or
-//! partitioned and whatever a checker believes; a node that is cut off fences nothing.
+//! The share of nodes that may be fenced is divided into numbered slots. A node that should be fenced claims
+//! a slot in its fact and takes it once more than half of all members consent. Each member consents to one
+//! node per slot, until that node releases it. Two majorities have a member in common, so a slot is never
+//! held twice, regardless of message loss, partitions and the state of any checker; a node that is cut off
+//! cannot fence itself.
 
 use std::collections::BTreeMap;
 
@@ -12,43 +13,52 @@
 use super::{Checker, Limits, Notice, Output};
 use crate::version::Digest;
 use crate::window::Decider;
-use crate::words::{Consent, Word, MOST_SLOTS};
+use crate::words::{Consent, Statement, MAX_FENCE_SLOTS};
 
-/// A claim is given up for the next place after this, in microseconds.
-const PATIENCE: Micros = 10_000_000;
-/// Time between two rounds of claims is a quarter of this to five quarters, in microseconds.
-const REST: Micros = 60_000_000;
+/// Time after which a claim is abandoned in favour of the next slot, in microseconds.
+const CLAIM_TIMEOUT_US: Micros = 10_000_000;
+/// Time between two rounds of claims, in microseconds: a quarter of this to five quarters.
+const CLAIM_ROUND_INTERVAL_US: Micros = 60_000_000;
 
-/// What is held of the fence.
+/// The state of fencing.
 pub(crate) struct Fencing {
     pub fenced: bool,
     pub consents: Vec<Consent>,
-    /// How many places there are.
+    /// Number of slots.
     slots: u8,
-    /// The own claim and since when.
+    /// This node's claim, and the time at which it was made.
     claim: Option<(u8, Micros)>,
-    tried: u8,
-    /// No claim before this.
-    next: Micros,
-    /// New rules are in force, that lift the fence once they are proved.
-    lifting: bool,
+    slots_tried: u8,
+    /// Earliest time of the next claim.
+    next_claim_at: Micros,
+    /// Whether new rules are in force that lift the fence once their cases agree with the majority.
+    lift_when_agreed: bool,
 }
 
 impl Fencing {
     pub fn new(limits: &Limits, members: usize) -> Fencing {
         let slots = members.saturating_mul(limits.share.min(100) as usize) / 100;
-        let slots = slots.min(MOST_SLOTS.into()) as u8;
+        let slots = slots.min(MAX_FENCE_SLOTS.into()) as u8;
         let consents = Vec::new();
-        Fencing { fenced: false, consents, slots, claim: None, tried: 0, next: Micros::MIN, lifting: false }
+        Fencing {
+            fenced: false,
+            consents,
+            slots,
+            claim: None,
+            slots_tried: 0,
+            next_claim_at: Micros::MIN,
+            lift_when_agreed: false,
+        }
     }
 
     pub fn claim(&self) -> Option<u8> {
         self.claim.map(|(slot, _)| slot)
     }
 
-    /// Other rules are in force: what was held against the node is void, a fence stays until they are proved.
-    pub fn withdraw(&mut self) {
-        (self.lifting, self.tried) = (self.fenced, 0);
+    /// Called when other rules come into force: the evidence against the node is void, but a fence stays
+    /// until its cases agree with the majority.
+    pub fn reset_claim(&mut self) {
+        (self.lift_when_agreed, self.slots_tried) = (self.fenced, 0);
         if !self.fenced {
             self.claim = None;
         }
@@ -56,88 +66,93 @@
 }
 
 impl<D: Decider> Checker<D> {
-    /// Heeds the claim of another.
-    pub(super) fn consent(&mut self, from: u32, incarnation: u64, word: &Word) {
-        let (slots, life) = (self.fencing.slots, incarnation as u16);
-        let kept = |one: &Consent| one.node != from || one.life == life && word.claim == Some(one.slot);
-        self.fencing.consents.retain(kept);
-        // One that started of late may have forgotten to whom it consented; facts tell it meanwhile.
-        let young = self.started.is_none_or(|started| self.now - started < self.limits.life);
-        let Some(slot) = word.claim.filter(|&slot| slot < slots && (word.fenced || !young)) else { return };
+    /// Updates the consents according to another node's claim.
+    pub(super) fn update_consents(&mut self, from: u32, incarnation: u64, fact: &Statement) {
+        let (slots, incarnation_bits) = (self.fencing.slots, incarnation as u16);
+        let still_valid = |one: &Consent| {
+            one.node != from || one.incarnation_bits == incarnation_bits && fact.claim == Some(one.slot)
+        };
+        self.fencing.consents.retain(still_valid);
+        // A node that started recently may have forgotten its consents; meanwhile it learns them from the
+        // facts of others.
+        let is_new = self.started.is_none_or(|started| self.now - started < self.limits.statement_lifetime);
+        let Some(slot) = fact.claim.filter(|&slot| slot < slots && (fact.fenced || !is_new)) else { return };
         let taken = self.fencing.consents.iter().any(|one| one.slot == slot);
         let claimed = self
-            .said
+            .peers
             .iter()
-            .any(|(&node, said)| node != from && said.word.fenced && said.word.claim == Some(slot));
+            .any(|(&node, peer)| node != from && peer.statement.fenced && peer.statement.claim == Some(slot));
         if !taken && !claimed && self.fencing.claim() != Some(slot) {
-            self.fencing.consents.push(Consent { slot, node: from, life });
+            self.fencing.consents.push(Consent { slot, node: from, incarnation_bits });
         }
     }
 
-    /// Claims, fences and lifts.
-    pub(super) fn mind_fence(&mut self, out: &mut Vec<Output>) {
-        let condemned = self.condemned();
+    /// Claims a slot, fences this node, or lifts the fence.
+    pub(super) fn update_fence(&mut self, out: &mut Vec<Output>) {
+        let must_fence = self.must_fence();
         if self.fencing.fenced {
-            let proved = self.root().is_some() && self.root() == self.verdicts.majority;
-            if self.fencing.lifting && proved && !condemned {
-                (self.fencing.fenced, self.fencing.claim, self.fencing.lifting) = (false, None, false);
+            let agrees = self.root().is_some() && self.root() == self.verdicts.majority;
+            if self.fencing.lift_when_agreed && agrees && !must_fence {
+                (self.fencing.fenced, self.fencing.claim, self.fencing.lift_when_agreed) =
+                    (false, None, false);
                 out.push(Output::Fence(None));
                 out.push(Output::Notice(Notice::Unfenced));
             }
             return;
         }
-        if !condemned || !self.limits.fences {
-            (self.fencing.claim, self.fencing.tried) = (None, 0);
+        if !must_fence || !self.limits.fences {
+            (self.fencing.claim, self.fencing.slots_tried) = (None, 0);
             return;
         }
         match self.fencing.claim {
-            Some((slot, _)) if self.granted(slot) => {
+            Some((slot, _)) if self.has_majority_consent(slot) => {
                 lemoncleat_faults::point!(RULES_FENCE);
                 self.fencing.fenced = true;
                 out.push(Output::Fence(Some(self.limits.come_back)));
                 out.push(Output::Notice(Notice::Fenced));
             }
-            Some((_, since)) if self.now - since < PATIENCE => {}
+            Some((_, since)) if self.now - since < CLAIM_TIMEOUT_US => {}
             _ => self.claim_next(out),
         }
     }
 
-    fn granted(&self, slot: u8) -> bool {
-        let consent = Consent { slot, node: self.me, life: self.incarnation as u16 };
-        let others = self.fresh().filter(|(_, said)| said.word.consents.contains(&consent)).count();
-        // The own consent is given by claiming.
+    fn has_majority_consent(&self, slot: u8) -> bool {
+        let consent = Consent { slot, node: self.me, incarnation_bits: self.incarnation as u16 };
+        let others = self.fresh().filter(|(_, peer)| peer.statement.consents.contains(&consent)).count();
+        // A claim includes this node's own consent.
         2 * (others + 1) > self.members.len()
     }
 
     fn claim_next(&mut self, out: &mut Vec<Output>) {
         self.fencing.claim = None;
-        // While it is young so may all others be, and consent to nothing.
-        let young = self.started.is_none_or(|started| self.now - started < self.limits.life);
-        if young || self.now < self.fencing.next {
+        // If this node started recently, all others may have too, and then they consent to nothing.
+        let is_new = self.started.is_none_or(|started| self.now - started < self.limits.statement_lifetime);
+        if is_new || self.now < self.fencing.next_claim_at {
             return;
         }
         let slots = self.fencing.slots;
-        if self.fencing.tried >= slots {
-            // Several that ask at once split the votes; each comes back at a moment of its own.
-            let apart =
+        if self.fencing.slots_tried >= slots {
+            // Several nodes that claim at the same time split the votes, so each retries after a different
+            // time.
+            let spread =
                 Digest::of(&[self.now.to_le_bytes(), i64::from(self.me).to_le_bytes()].concat()).seed();
-            let rest = REST / 4 + (apart % REST as u64) as Micros;
-            (self.fencing.tried, self.fencing.next) = (0, self.now.saturating_add(rest));
+            let rest = CLAIM_ROUND_INTERVAL_US / 4 + (spread % CLAIM_ROUND_INTERVAL_US as u64) as Micros;
+            (self.fencing.slots_tried, self.fencing.next_claim_at) = (0, self.now.saturating_add(rest));
             out.push(Output::Notice(Notice::NotFenced));
             return;
         }
-        let mut asked = BTreeMap::<u8, usize>::new();
-        let others = self.fresh().filter_map(|(_, said)| said.word.claim);
+        let mut claims = BTreeMap::<u8, usize>::new();
+        let others = self.fresh().filter_map(|(_, peer)| peer.statement.claim);
         others.chain(self.fencing.consents.iter().map(|one| one.slot)).for_each(|slot| {
-            *asked.entry(slot).or_default() += 1;
+            *claims.entry(slot).or_default() += 1;
         });
-        // Places that nobody asks for first, beginning at one that differs by node.
-        let start = (self.me.wrapping_add(u32::from(self.fencing.tried)) % u32::from(slots)) as u8;
+        // Prefers slots that no other node claims, starting at one that differs by node.
+        let start = (self.me.wrapping_add(u32::from(self.fencing.slots_tried)) % u32::from(slots)) as u8;
         let order = (0..slots).map(|step| (start + step) % slots);
-        let free = order.min_by_key(|slot| asked.get(slot).copied().unwrap_or(0));
-        // A place that this node granted to another is not its own to claim.
+        let free = order.min_by_key(|slot| claims.get(slot).copied().unwrap_or(0));
+        // A slot that this node granted to another cannot be claimed by it.
         let granted = |slot: &u8| self.fencing.consents.iter().any(|one| one.slot == *slot);
-        self.fencing.tried += 1;
+        self.fencing.slots_tried += 1;
         self.fencing.claim = free.filter(|slot| !granted(slot)).map(|slot| (slot, self.now));
     }
 }
--- a/crates/lemoncleat-consistency/src/checker/verdict.rs
+++ b/crates/lemoncleat-consistency/src/checker/verdict.rs
@@ -1,4 +1,4 @@
-//! Who is the odd one out, and how long the fleet has held two versions.
+//! Determines which nodes deviate from the majority, and how long the fleet has run several versions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,78 +8,83 @@
 use crate::version::Digest;
 use crate::window::{Decider, Difference, Played, Unplayable};
 
-/// Time between two tellings that the fleet holds several versions, in microseconds.
-const TELL: Micros = 60_000_000;
+/// Interval at which it is reported that the fleet runs several versions, in microseconds.
+const VERSIONS_NOTICE_INTERVAL_US: Micros = 60_000_000;
 
-/// What is held of the fleet's roots and versions.
+/// Conclusions about the roots and versions in the fleet.
 #[derive(Default)]
 pub(crate) struct Verdicts {
-    /// The root that more than half of those of the own version came to, three nodes at least.
+    /// The root of more than half of the nodes of this version, and of at least two of them: a node is only
+    /// outvoted among three or more.
     pub majority: Option<Digest>,
-    /// The own cases were played a second time since the own root was found odd.
+    /// Whether this node's cases were played a second time since its root was found to deviate.
     pub checked: bool,
-    /// The judges that agree against an own window.
-    pub window: Option<[u32; 2]>,
-    /// What is told already.
-    odd: BTreeSet<(u32, Digest)>,
-    undecided: bool,
+    /// The judges that agree on a difference in one of this node's windows.
+    pub window_judges: Option<[u32; 2]>,
+    /// What has already been reported.
+    reported_odd: BTreeSet<(u32, Digest)>,
+    reported_undecided: bool,
     differing: bool,
-    several: Option<(Micros, Micros)>,
+    several_versions: Option<(Micros, Micros)>,
 }
 
 impl Verdicts {
-    /// Begins anew under other rules. How long the fleet holds several versions goes on.
+    /// Resets the conclusions when the rules change. The time for which the fleet has run several versions
+    /// continues.
     pub fn reset(&mut self) {
-        *self = Verdicts { several: self.several, ..Verdicts::default() };
+        *self = Verdicts { several_versions: self.several_versions, ..Verdicts::default() };
     }
 }
 
 impl<D: Decider> Checker<D> {
-    /// Looks at all that was said.
-    pub(super) fn weigh(&mut self, out: &mut Vec<Output>) {
+    /// Evaluates the statements of all nodes.
+    pub(super) fn evaluate_roots(&mut self, out: &mut Vec<Output>) {
         if self.rules.is_none() {
             return;
         }
-        self.weigh_versions(out);
+        self.evaluate_versions(out);
         let own = self.root().map(|root| (self.me, root, self.arithmetic));
-        let others = self.fresh().filter(|(_, said)| said.word.version == self.version);
-        let others = others.filter_map(|(node, said)| Some((node, said.word.root?, said.word.arithmetic)));
+        let others = self.fresh().filter(|(_, peer)| peer.statement.version == self.version);
+        let others =
+            others.filter_map(|(node, peer)| Some((node, peer.statement.root?, peer.statement.arithmetic)));
         let all: Vec<(u32, Digest, u32)> = own.into_iter().chain(others).collect();
         let mut roots = BTreeMap::<Digest, usize>::new();
         for &(_, root, _) in &all {
             *roots.entry(root).or_default() += 1;
         }
-        let most = roots.iter().max_by_key(|(_, &count)| count).map(|(&root, &count)| (root, count));
-        // Two at least: one against one is no majority. More than half of all who may be of this version, heard or
-        // not: two against two is none either, whomever of them this node has heard first.
-        let other = |node: &u32| self.said.get(node).is_some_and(|said| said.word.version != self.version);
-        let others = self.alive.iter().filter(|&node| *node != self.me && !other(node)).count();
-        let majority = most.filter(|&(_, count)| count >= 2 && 2 * count > others + 1);
+        let most_common = roots.iter().max_by_key(|(_, &count)| count).map(|(&root, &count)| (root, count));
+        // At least two nodes, since one against one is no majority. More than half of all nodes that may run
+        // this version, heard from or not: two against two is no majority either, regardless of which this
+        // node heard from first.
+        let other_version =
+            |node: &u32| self.peers.get(node).is_some_and(|peer| peer.statement.version != self.version);
+        let others = self.alive.iter().filter(|&node| *node != self.me && !other_version(node)).count();
+        let majority = most_common.filter(|&(_, count)| count >= 2 && 2 * count > others + 1);
         self.verdicts.majority = majority.map(|(root, _)| root);
         if roots.len() < 2 {
             if std::mem::take(&mut self.verdicts.differing) {
-                self.verdicts.odd.clear();
-                self.verdicts.undecided = false;
+                self.verdicts.reported_odd.clear();
+                self.verdicts.reported_undecided = false;
                 out.push(Output::Notice(Notice::Agreed));
             }
             return;
         }
         self.verdicts.differing = true;
         let Some((root, against)) = majority else {
-            if !std::mem::replace(&mut self.verdicts.undecided, true) {
+            if !std::mem::replace(&mut self.verdicts.reported_undecided, true) {
                 let (roots, nodes) = (roots.len(), all.len());
                 out.push(Output::Notice(Notice::Undecided { roots, nodes }));
             }
             return;
         };
-        let usual = all.iter().find(|one| one.1 == root).map(|one| one.2);
-        for &(node, other, figures) in all.iter().filter(|one| one.1 != root) {
-            if self.verdicts.odd.insert((node, other)) {
+        let majority_fingerprint = all.iter().find(|one| one.1 == root).map(|one| one.2);
+        for &(node, other, fingerprint) in all.iter().filter(|one| one.1 != root) {
+            if self.verdicts.reported_odd.insert((node, other)) {
                 lemoncleat_faults::point!(RULES_VERDICT);
-                let arithmetic = usual != Some(figures);
+                let arithmetic = majority_fingerprint != Some(fingerprint);
                 out.push(Output::Notice(Notice::Odd { node, against, arithmetic }));
                 if node == self.me && !self.checking {
-                    // What is wrong may have been wrong for a moment only.
+                    // The fault may have been transient, so the cases are played again.
                     (self.checking, self.verdicts.checked) = (true, false);
                     out.push(Output::Cases);
                 }
@@ -87,45 +92,46 @@
         }
     }
 
-    fn weigh_versions(&mut self, out: &mut Vec<Output>) {
-        let mut versions: BTreeSet<Digest> = self.fresh().map(|(_, said)| said.word.version).collect();
+    fn evaluate_versions(&mut self, out: &mut Vec<Output>) {
+        let mut versions: BTreeSet<Digest> = self.fresh().map(|(_, peer)| peer.statement.version).collect();
         versions.insert(self.version);
         let now = self.now;
-        match (&mut self.verdicts.several, versions.len()) {
+        match (&mut self.verdicts.several_versions, versions.len()) {
             (None, 1) => {}
             (Some((since, _)), 1) => {
                 let held = now - *since;
-                self.verdicts.several = None;
+                self.verdicts.several_versions = None;
                 out.push(Output::Notice(Notice::OneVersion { held }));
             }
             (several, count) => {
-                let (since, told) = several.get_or_insert((now, Micros::MIN));
-                if now.saturating_sub(*told) >= TELL {
-                    *told = now;
+                let (since, reported_at) = several.get_or_insert((now, Micros::MIN));
+                if now.saturating_sub(*reported_at) >= VERSIONS_NOTICE_INTERVAL_US {
+                    *reported_at = now;
                     out.push(Output::Notice(Notice::Versions { count, held: now - *since }));
                 }
             }
         }
     }
 
-    /// Whether there is a reason for this node to be fenced: two others of its version agree on it, and it has
-    /// looked again itself.
-    pub(super) fn condemned(&self) -> bool {
-        let odd = match (self.verdicts.majority, self.root()) {
+    /// Whether this node should be fenced: two other nodes of its version agree on the difference, and it has
+    /// checked again itself.
+    pub(super) fn must_fence(&self) -> bool {
+        let root_deviates = match (self.verdicts.majority, self.root()) {
             (Some(majority), Some(own)) => majority != own && self.verdicts.checked,
             _ => false,
         };
-        // The judges' word counts as long as they are at one with most.
-        let with_most = |node: &u32| {
-            let root = self.said.get(node).and_then(|said| said.word.root);
+        // The judges' result counts as long as their own roots agree with the majority.
+        let agrees_with_majority = |node: &u32| {
+            let root = self.peers.get(node).and_then(|peer| peer.statement.root);
             root.is_some() && root == self.verdicts.majority
         };
-        odd || self.verdicts.window.is_some_and(|judges| judges.iter().all(with_most))
+        root_deviates
+            || self.verdicts.window_judges.is_some_and(|judges| judges.iter().all(agrees_with_majority))
     }
 
-    /// Two judges agree on an own window, and it was played again here. What came of that is told and is no veto:
-    /// a module that is wrong agrees with itself.
-    pub(super) fn own_window(
+    /// Two judges agree on a difference in one of this node's windows, and the window was played again here.
+    /// The result of that is reported but is no veto: a faulty module agrees with itself.
+    pub(super) fn report_own_window(
         &mut self,
         number: u32,
         difference: Difference,
@@ -134,7 +140,7 @@
         out: &mut Vec<Output>,
     ) {
         lemoncleat_faults::point!(RULES_VERDICT);
-        self.verdicts.window = Some(judges);
+        self.verdicts.window_judges = Some(judges);
         out.push(Output::Notice(Notice::OwnWindow { number, difference, judges, again }));
     }
 }
--- a/crates/lemoncleat-consistency/src/checker/windows.rs
+++ b/crates/lemoncleat-consistency/src/checker/windows.rs
@@ -1,42 +1,42 @@
-//! Windows on their way to two judges, and those of others on their way here.
+//! Sends this node's windows to two judges, and receives windows of other nodes.
 
 use lemoncleat::Micros;
 
-use super::{Checker, Notice, Output, LOOK};
+use super::{Checker, Notice, Output, CHECK_INTERVAL_US};
 use crate::version::Digest;
 use crate::window::{Decider, Difference, Played, Unplayable};
-use crate::words::{Message, PIECE};
+use crate::words::{Message, PIECE_BYTES};
 
-/// A piece is sent so often.
-const TRIES: u32 = 5;
-/// Windows of others that are taken at once.
-const MOST_INCOMING: usize = 2;
-/// A window that is not whole, or not judged, after this is dropped, in microseconds.
-const LIFE: Micros = 120_000_000;
+/// Maximum number of times that a piece is sent again.
+const MAX_RESENDS: u32 = 5;
+/// Maximum number of windows received from other nodes at the same time.
+const MAX_INCOMING_WINDOWS: usize = 2;
+/// Time after which a window that is incomplete or not judged is dropped, in microseconds.
+const WINDOW_LIFETIME_US: Micros = 120_000_000;
 
-/// An own window.
-pub(crate) struct Outgoing {
+/// A window of this node's own work.
+pub(crate) struct OutgoingWindow {
     number: u32,
     id: u64,
     window: Vec<u8>,
     since: Micros,
     judges: Vec<Judge>,
-    /// What the judges agree on while it is played again here.
+    /// The difference that the judges agree on, while the window is played again here.
     agreed: Option<(Difference, [u32; 2])>,
 }
 
 struct Judge {
     node: u32,
     piece: u32,
-    sent: Micros,
-    tries: u32,
-    /// It is done with: judged, or given up.
+    sent_at: Micros,
+    resends: u32,
+    /// Whether it has returned a result or was given up.
     done: bool,
     result: Option<Result<Played, Unplayable>>,
 }
 
-/// A window of another.
-pub(crate) struct Incoming {
+/// A window of another node.
+pub(crate) struct IncomingWindow {
     id: u64,
     of: u32,
     next: u32,
@@ -44,45 +44,49 @@
     at: Micros,
 }
 
-impl Outgoing {
+impl OutgoingWindow {
     fn message(&self, index: u32) -> Option<Message> {
-        let of = self.window.len().div_ceil(PIECE) as u32;
-        let bytes = self.window.chunks(PIECE).nth(index as usize)?.to_vec();
+        let of = self.window.len().div_ceil(PIECE_BYTES) as u32;
+        let bytes = self.window.chunks(PIECE_BYTES).nth(index as usize)?.to_vec();
         Some(Message::Piece { id: self.id, index, of, bytes })
     }
 }
 
 impl<D: Decider> Checker<D> {
-    /// Begins to send an own window to two judges.
-    pub(super) fn sealed(&mut self, number: u32, window: Vec<u8>, out: &mut Vec<Output>) {
-        if self.outgoing.is_some() || window.is_empty() || window.len() > self.limits.window {
+    /// Starts to send one of this node's windows to two judges.
+    pub(super) fn send_window(&mut self, number: u32, window: Vec<u8>, out: &mut Vec<Output>) {
+        if self.outgoing.is_some() || window.is_empty() || window.len() > self.limits.max_window_bytes {
             return;
         }
-        // Those whose word would count: of this version, and at one with most on the generated cases.
+        // Only nodes whose result counts: of this version, and in agreement with the majority on the
+        // generated cases.
         let root = self.verdicts.majority.or(self.root());
-        let able = |(node, said): (u32, &super::Said)| {
-            (said.word.version == self.version && said.word.root.is_some() && said.word.root == root)
+        let eligible = |(node, peer): (u32, &super::PeerState)| {
+            (peer.statement.version == self.version
+                && peer.statement.root.is_some()
+                && peer.statement.root == root)
                 .then_some(node)
         };
-        let mut able: Vec<u32> = self.fresh().filter_map(able).collect();
-        // Others each time, without a source of chance.
-        let order = |node: &u32| Digest::of(&[self.me, number, *node].map(u32::to_le_bytes).concat());
-        able.sort_by_cached_key(order);
+        let mut eligible: Vec<u32> = self.fresh().filter_map(eligible).collect();
+        // Different judges for each window, without a source of randomness.
+        let pseudo_random_order =
+            |node: &u32| Digest::of(&[self.me, number, *node].map(u32::to_le_bytes).concat());
+        eligible.sort_by_cached_key(pseudo_random_order);
         let since = self.now;
-        let judge = |node| Judge { node, piece: 0, sent: since, tries: 0, done: false, result: None };
-        let judges: Vec<Judge> = able.into_iter().take(2).map(judge).collect();
+        let judge = |node| Judge { node, piece: 0, sent_at: since, resends: 0, done: false, result: None };
+        let judges: Vec<Judge> = eligible.into_iter().take(2).map(judge).collect();
         if judges.len() < 2 {
             return;
         }
         let id = Digest::of(&window).seed();
-        let outgoing = Outgoing { number, id, window, since, judges, agreed: None };
+        let outgoing = OutgoingWindow { number, id, window, since, judges, agreed: None };
         if let Some(first) = outgoing.message(0) {
-            outgoing.judges.iter().for_each(|judge| self.say(judge.node, &first, out));
+            outgoing.judges.iter().for_each(|judge| self.send(judge.node, &first, out));
         }
         self.outgoing = Some(outgoing);
     }
 
-    pub(super) fn got(&mut self, from: u32, id: u64, index: u32, out: &mut Vec<Output>) {
+    pub(super) fn handle_piece_received(&mut self, from: u32, id: u64, index: u32, out: &mut Vec<Output>) {
         let now = self.now;
         let Some(outgoing) = self.outgoing.as_mut().filter(|outgoing| outgoing.id == id) else {
             return;
@@ -93,43 +97,43 @@
         if judge.piece != index {
             return;
         }
-        (judge.piece, judge.sent, judge.tries) = (index + 1, now, 0);
+        (judge.piece, judge.sent_at, judge.resends) = (index + 1, now, 0);
         if let Some(message) = outgoing.message(index + 1) {
-            self.say(from, &message, out);
+            self.send(from, &message, out);
         }
     }
 
-    /// Sends again what was not acknowledged, and drops what takes too long.
-    pub(super) fn resend(&mut self, out: &mut Vec<Output>) {
+    /// Sends unacknowledged pieces again, and drops windows that take too long.
+    pub(super) fn resend_pieces(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        self.incoming.retain(|_, incoming| now - incoming.at < LIFE);
+        self.incoming.retain(|_, incoming| now - incoming.at < WINDOW_LIFETIME_US);
         let Some(mut outgoing) = self.outgoing.take() else { return };
-        let pieces = outgoing.window.len().div_ceil(PIECE) as u32;
-        let mut again = Vec::new();
+        let pieces = outgoing.window.len().div_ceil(PIECE_BYTES) as u32;
+        let mut overdue = Vec::new();
         for judge in outgoing.judges.iter_mut().filter(|judge| !judge.done) {
-            // Playing takes its time; asking for the result is asking with the last piece.
-            let patience = if judge.piece >= pieces { 10 * LOOK } else { 2 * LOOK };
-            if now - judge.sent < patience {
+            // Playing takes longer than a transfer; the last piece is repeated to request the result.
+            let timeout = if judge.piece >= pieces { 10 * CHECK_INTERVAL_US } else { 2 * CHECK_INTERVAL_US };
+            if now - judge.sent_at < timeout {
                 continue;
             }
-            (judge.tries, judge.sent) = (judge.tries + 1, now);
-            judge.done = judge.tries > TRIES;
+            (judge.resends, judge.sent_at) = (judge.resends + 1, now);
+            judge.done = judge.resends > MAX_RESENDS;
             if !judge.done {
-                again.push((judge.node, judge.piece.min(pieces.saturating_sub(1))));
+                overdue.push((judge.node, judge.piece.min(pieces.saturating_sub(1))));
             }
         }
-        for (node, piece) in again {
+        for (node, piece) in overdue {
             if let Some(message) = outgoing.message(piece) {
-                self.say(node, &message, out);
+                self.send(node, &message, out);
             }
         }
-        let over = outgoing.agreed.is_none() && outgoing.judges.iter().all(|judge| judge.done);
-        if !over && now - outgoing.since < LIFE {
+        let finished = outgoing.agreed.is_none() && outgoing.judges.iter().all(|judge| judge.done);
+        if !finished && now - outgoing.since < WINDOW_LIFETIME_US {
             self.outgoing = Some(outgoing);
         }
     }
 
-    pub(super) fn piece(
+    pub(super) fn handle_piece(
         &mut self,
         from: u32,
         id: u64,
@@ -138,22 +142,22 @@
         bytes: Vec<u8>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(&(_, result)) = self.judged.get(&from).filter(|judged| judged.0 == id) {
-            return self.say(from, &Message::Judged { id, result }, out);
+        if let Some(&(_, result)) = self.judgements.get(&from).filter(|judged| judged.0 == id) {
+            return self.send(from, &Message::Judged { id, result }, out);
         }
-        let most = self.limits.window.div_ceil(PIECE) as u32;
-        if of == 0 || of > most || index >= of || bytes.len() > PIECE {
-            self.unread += 1;
+        let max_pieces = self.limits.max_window_bytes.div_ceil(PIECE_BYTES) as u32;
+        if of == 0 || of > max_pieces || index >= of || bytes.len() > PIECE_BYTES {
+            self.rejected_inputs += 1;
             return;
         }
         let other = self.incoming.get(&from).is_some_and(|incoming| incoming.id != id);
         if other {
             self.incoming.remove(&from);
         }
-        if self.incoming.len() >= MOST_INCOMING && !self.incoming.contains_key(&from) {
-            return self.say(from, &Message::Busy { id }, out);
+        if self.incoming.len() >= MAX_INCOMING_WINDOWS && !self.incoming.contains_key(&from) {
+            return self.send(from, &Message::Busy { id }, out);
         }
-        let fresh = Incoming { id, of, next: 0, bytes: Vec::new(), at: self.now };
+        let fresh = IncomingWindow { id, of, next: 0, bytes: Vec::new(), at: self.now };
         let incoming = self.incoming.entry(from).or_insert(fresh);
         if of != incoming.of || index > incoming.next {
             return;
@@ -165,18 +169,18 @@
                 let window = std::mem::take(&mut incoming.bytes);
                 if Digest::of(&window).seed() != id {
                     self.incoming.remove(&from);
-                    self.unread += 1;
+                    self.rejected_inputs += 1;
                     return;
                 }
                 lemoncleat_faults::point!(RULES_PLAY);
                 out.push(Output::Play { from, id, window });
             }
         }
-        self.say(from, &Message::Got { id, index }, out);
+        self.send(from, &Message::PieceReceived { id, index }, out);
     }
 
-    /// A window was played here: another's, or the own one a second time.
-    pub(super) fn played(
+    /// Handles a window that was played here: another node's, or this node's own a second time.
+    pub(super) fn handle_played(
         &mut self,
         from: u32,
         id: u64,
@@ -187,7 +191,7 @@
             let agreed = self.outgoing.take_if(|outgoing| outgoing.id == id);
             let agreed = agreed.and_then(|outgoing| Some((outgoing.number, outgoing.agreed?)));
             if let Some((number, (difference, judges))) = agreed {
-                self.own_window(number, difference, judges, result, out);
+                self.report_own_window(number, difference, judges, result, out);
             }
             return;
         }
@@ -199,16 +203,16 @@
             Ok(Played::Different(difference)) => {
                 out.push(Output::Notice(Notice::Window { node: from, id, difference }));
             }
-            // One of them changed its rules meanwhile.
+            // One of the nodes changed its rules meanwhile.
             Err(Unplayable::Version) => {}
             Err(why) => out.push(Output::Notice(Notice::Unplayable { node: from, id, why })),
         }
-        self.judged.insert(from, (id, result));
-        self.say(from, &Message::Judged { id, result }, out);
+        self.judgements.insert(from, (id, result));
+        self.send(from, &Message::Judged { id, result }, out);
     }
 
-    /// A judge's word on an own window; `None` where it has no time for it.
-    pub(super) fn judged(
+    /// Handles a judge's result for one of this node's windows; `None` if the judge was too busy.
+    pub(super) fn handle_judgement(
         &mut self,
         from: u32,
         id: u64,
@@ -226,9 +230,9 @@
             return;
         }
         let number = outgoing.number;
-        let words: Vec<_> =
+        let results: Vec<_> =
             outgoing.judges.iter().filter_map(|judge| Some((judge.node, judge.result?))).collect();
-        match words[..] {
+        match results[..] {
             [(first, Ok(Played::Different(one))), (second, Ok(Played::Different(two)))] if one == two => {
                 outgoing.agreed = Some((one, [first, second]));
                 let window = outgoing.window.clone();
--- a/crates/lemoncleat-consistency/src/tree.rs
+++ b/crates/lemoncleat-consistency/src/tree.rs
@@ -1,16 +1,16 @@
-//! Digests in a Merkle tree.
+//! A Merkle tree of digests.
 
 use crate::version::Digest;
 
-/// A Merkle tree over a power of two of leaves, as a heap: the root is number 1, the children of `n` are `2n` and
-/// `2n + 1`, the leaves are the last half.
+/// A Merkle tree with a power of two of leaves, stored as a heap: the root is number 1, the children of `n`
+/// are `2n` and `2n + 1`, and the leaves are the second half.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tree {
     nodes: Vec<Digest>,
 }
 
 impl Tree {
-    /// The tree of these leaves; missing ones up to the next power of two are zero.
+    /// Builds the tree of these leaves, padded with zero digests to the next power of two.
     pub fn new(leaves: &[Digest]) -> Tree {
         let half = leaves.len().max(1).next_power_of_two();
         let mut nodes = vec![Digest::default(); half];
@@ -28,17 +28,17 @@
         Tree { nodes }
     }
 
-    /// The digest of all leaves.
+    /// Returns the digest of all leaves.
     pub fn root(&self) -> Digest {
         self.node(1).unwrap_or_default()
     }
 
-    /// The digest of a node, if there is one of this number.
+    /// Returns the digest of a node; `None` if there is no node with this number.
     pub fn node(&self, number: u32) -> Option<Digest> {
         self.nodes.get(number as usize).copied()
     }
 
-    /// Which leaf a node is, if it is one.
+    /// Returns the index of the leaf that a node is; `None` if it is not a leaf.
     pub fn leaf(&self, number: u32) -> Option<usize> {
         let half = self.nodes.len() / 2;
         (number as usize).checked_sub(half).filter(|&leaf| leaf < half)
--- a/crates/lemoncleat-consistency/src/words.rs
+++ b/crates/lemoncleat-consistency/src/words.rs
@@ -1,52 +1,53 @@
-//! What nodes say to each other about their rules.
+//! The messages and facts that nodes exchange about their rules.
 
 use serde::{Deserialize, Serialize};
 
 use crate::version::Digest;
 use crate::window::{Played, Unplayable};
 
-/// Most bytes of a fact.
-pub(crate) const MOST_FACT: usize = 160;
-/// Most bytes of a direct message.
-pub(crate) const MOST_DIRECT: usize = 16 << 10;
-/// Bytes of a window in one message; the rest is its frame.
-pub(crate) const PIECE: usize = (16 << 10) - 64;
-/// Most places at the fence that a fact has room to speak of.
-pub(crate) const MOST_SLOTS: u8 = 8;
+/// Maximum size of a fact, in bytes.
+pub(crate) const MAX_FACT_BYTES: usize = 160;
+/// Maximum size of a direct message, in bytes.
+pub(crate) const MAX_DIRECT_BYTES: usize = 16 << 10;
+/// Bytes of a window in one message; the remainder of the message is framing.
+pub(crate) const PIECE_BYTES: usize = (16 << 10) - 64;
+/// Maximum number of fence slots that fit in a fact.
+pub(crate) const MAX_FENCE_SLOTS: u8 = 8;
 
-/// A node's fact.
+/// The statement that a node publishes as its fact.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) struct Word {
+pub(crate) struct Statement {
     pub version: Digest,
-    /// The root of its generated cases; `None` until they are played.
+    /// The root of its generated cases; `None` until they have been played.
     pub root: Option<Digest>,
     pub arithmetic: u32,
-    /// The place at the fence that it asks for or has.
+    /// The fence slot that it claims or holds.
     pub claim: Option<u8>,
     pub fenced: bool,
     pub consents: Vec<Consent>,
 }
 
-/// What a node's fact tells: its version, and the root of its cases once they are played. `None` where it can't be
-/// read.
+/// Returns the version in a node's fact, and the root of its cases once they have been played. `None` if the
+/// fact cannot be decoded.
 pub fn told(fact: &[u8]) -> Option<(Digest, Option<Digest>)> {
-    read::<Word>(fact, MOST_FACT).map(|word| (word.version, word.root))
+    decode::<Statement>(fact, MAX_FACT_BYTES).map(|statement| (statement.version, statement.root))
 }
 
-/// Leave for a node's incarnation to take a place at the fence. No other gets it from the same node meanwhile.
+/// Consent for an incarnation of a node to take a fence slot. The consenting node gives it to no other node
+/// meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Consent {
     pub slot: u8,
     pub node: u32,
-    /// The last 16 bits of the incarnation.
-    pub life: u16,
+    /// The lowest 16 bits of the incarnation.
+    pub incarnation_bits: u16,
 }
 
 /// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// Wants the children of a node of the tree.
-    Ask {
+    /// Requests the children of a node of the tree.
+    AskChildren {
         version: Digest,
         node: u32,
     },
@@ -55,7 +56,7 @@
         node: u32,
         digests: [Digest; 2],
     },
-    /// Wants the digests of a case's steps.
+    /// Requests the digests of a case's steps.
     AskCase {
         version: Digest,
         case: u32,
@@ -65,7 +66,7 @@
         case: u32,
         steps: Vec<u64>,
     },
-    /// Wants a step's text.
+    /// Requests the text of a step.
     AskStep {
         version: Digest,
         case: u32,
@@ -77,33 +78,34 @@
         step: u32,
         text: String,
     },
-    /// Part of a window. Windows are named by their digest: a node that starts anew counts anew.
+    /// Part of a window. Windows are identified by their digest, because a restarted node counts its windows
+    /// from the start again.
     Piece {
         id: u64,
         index: u32,
         of: u32,
         bytes: Vec<u8>,
     },
-    /// It came.
-    Got {
+    /// Acknowledges a piece.
+    PieceReceived {
         id: u64,
         index: u32,
     },
-    /// What a window came to.
+    /// The result of playing a window.
     Judged {
         id: u64,
         result: Result<Played, Unplayable>,
     },
-    /// The window is not wanted: too much is waiting.
+    /// The window is rejected because too many are waiting.
     Busy {
         id: u64,
     },
 }
 
-pub(crate) fn write(words: &impl Serialize) -> Vec<u8> {
-    postcard::to_stdvec(words).unwrap_or_default()
+pub(crate) fn encode(value: &impl Serialize) -> Vec<u8> {
+    postcard::to_stdvec(value).unwrap_or_default()
 }
 
-pub(crate) fn read<'a, T: Deserialize<'a>>(bytes: &'a [u8], most: usize) -> Option<T> {
-    (bytes.len() <= most).then(|| postcard::from_bytes(bytes).ok()).flatten()
+pub(crate) fn decode<'a, T: Deserialize<'a>>(bytes: &'a [u8], max_bytes: usize) -> Option<T> {
+    (bytes.len() <= max_bytes).then(|| postcard::from_bytes(bytes).ok()).flatten()
 }
--- a/crates/lemoncleat-consistency/tests/common/mod.rs
+++ b/crates/lemoncleat-consistency/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet under a virtual clock, with a network that delays, loses, repeats and reorders.
+//! A small fleet under a virtual clock, with a network that delays, loses, duplicates and reorders messages.
 #![allow(dead_code)]
 
 use std::cell::{Cell, RefCell};
@@ -18,61 +18,61 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-/// What a node's process decides with.
+/// The variant of the decision module that a node runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Flavour {
-    Right,
+pub enum Variant {
+    Correct,
     /// One constant of the module differs.
     Patched,
-    /// Its actions come in an order that hangs on the process's hash seed.
-    Hashed(u64),
+    /// The order of its actions depends on the hash seed of the process.
+    HashOrdered(u64),
 }
 
 thread_local! {
-    /// Of the process that has the turn.
-    static FLAVOUR: Cell<Flavour> = const { Cell::new(Flavour::Right) };
-    static TREES: RefCell<BTreeMap<(Digest, Flavour), Tree>> = const { RefCell::new(BTreeMap::new()) };
+    /// The variant of the process that is currently running.
+    static VARIANT: Cell<Variant> = const { Cell::new(Variant::Correct) };
+    static TREES: RefCell<BTreeMap<(Digest, Variant), Tree>> = const { RefCell::new(BTreeMap::new()) };
 }
 
-pub enum Any {
-    Right(Box<Controller>),
+pub enum AnyController {
+    Correct(Box<Controller>),
     Patched(Box<patched::decide::Controller>),
 }
 
-impl Serialize for Any {
+impl Serialize for AnyController {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         match self {
-            Any::Right(one) => one.serialize(to),
-            Any::Patched(one) => one.serialize(to),
+            AnyController::Correct(one) => one.serialize(to),
+            AnyController::Patched(one) => one.serialize(to),
         }
     }
 }
 
-impl<'de> Deserialize<'de> for Any {
+impl<'de> Deserialize<'de> for AnyController {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        Ok(match FLAVOUR.get() {
-            Flavour::Patched => Any::Patched(Deserialize::deserialize(from)?),
-            _ => Any::Right(Deserialize::deserialize(from)?),
+        Ok(match VARIANT.get() {
+            Variant::Patched => AnyController::Patched(Deserialize::deserialize(from)?),
+            _ => AnyController::Correct(Deserialize::deserialize(from)?),
         })
     }
 }
 
-impl Decider for Any {
+impl Decider for AnyController {
     fn fresh(settings: &Settings, seed: u64) -> Option<Self> {
-        Some(match FLAVOUR.get() {
-            Flavour::Patched => {
-                Any::Patched(Box::new(patched::decide::Controller::new(settings.clone(), seed).ok()?))
-            }
-            _ => Any::Right(Box::new(Controller::new(settings.clone(), seed).ok()?)),
+        Some(match VARIANT.get() {
+            Variant::Patched => AnyController::Patched(Box::new(
+                patched::decide::Controller::new(settings.clone(), seed).ok()?,
+            )),
+            _ => AnyController::Correct(Box::new(Controller::new(settings.clone(), seed).ok()?)),
         })
     }
 
     fn decide(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match self {
-            Any::Right(one) => one.handle(now, event, actions),
-            Any::Patched(one) => one.handle(now, event, actions),
+            AnyController::Correct(one) => one.handle(now, event, actions),
+            AnyController::Patched(one) => one.handle(now, event, actions),
         }
-        if let Flavour::Hashed(salt) = FLAVOUR.get() {
+        if let Variant::HashOrdered(salt) = VARIANT.get() {
             actions.sort_by_key(|action| {
                 let mut hasher = DefaultHasher::new();
                 (salt, format!("{action:?}")).hash(&mut hasher);
@@ -117,10 +117,10 @@
 }
 
 pub fn tree(rules: &Rules) -> Tree {
-    let key = (rules.version(), FLAVOUR.get());
+    let key = (rules.version(), VARIANT.get());
     let known = TREES.with_borrow(|trees| trees.get(&key).cloned());
     known.unwrap_or_else(|| {
-        let tree = Cases::<Any>::tree(rules);
+        let tree = Cases::<AnyController>::tree(rules);
         TREES.with_borrow_mut(|trees| trees.insert(key, tree.clone()));
         tree
     })
@@ -143,11 +143,11 @@
 }
 
 #[derive(Clone)]
-enum What {
-    Look,
-    Fact { from: u32, incarnation: u64, said: Micros, bytes: Vec<u8> },
+enum Task {
+    Check,
+    Fact { from: u32, incarnation: u64, made_at: Micros, bytes: Vec<u8> },
     Direct { from: u32, bytes: Vec<u8> },
-    Proved(Rules, u64),
+    SendTree(Rules, u64),
     Play { from: u32, id: u64, window: Vec<u8> },
     Work(Event),
     Call,
@@ -155,11 +155,11 @@
 }
 
 pub struct Node {
-    pub checker: Checker<Any>,
+    pub checker: Checker<AnyController>,
     pub recorder: Recorder,
-    pub controller: Any,
-    pub flavour: Flavour,
-    /// The rules that it says it runs by.
+    pub controller: AnyController,
+    pub variant: Variant,
+    /// The rules that it claims to run.
     pub rules: Rules,
     pub incarnation: u64,
     pub up: bool,
@@ -168,45 +168,45 @@
     calls: u64,
     attempts: BTreeMap<CallId, u32>,
     window: Option<u32>,
-    /// No turn until then.
+    /// The node is not scheduled until then.
     paused: Micros,
     cut_in: Micros,
     cut_out: Micros,
-    /// Flip a bit of its state in every window from then on.
-    pub flips: Option<Micros>,
-    /// Its own clock against the world's.
-    pub ahead: Micros,
+    /// From this time on a bit of its state is flipped in every window.
+    pub bit_flips_from: Option<Micros>,
+    /// Offset of its own clock from virtual time.
+    pub clock_offset: Micros,
     sent: u64,
 }
 
-/// How the fleet is made.
+/// The configuration of the fleet.
 #[derive(Clone, Copy)]
-pub struct Shape {
+pub struct FleetConfig {
     pub nodes: u32,
     pub limits: Limits,
     pub bounds: Bounds,
-    /// Between two calls at a node.
-    pub gap: Micros,
+    /// Mean time between two calls at a node.
+    pub call_interval: Micros,
     pub seed: u64,
 }
 
-impl Shape {
-    pub fn new(nodes: u32, seed: u64) -> Shape {
+impl FleetConfig {
+    pub fn new(nodes: u32, seed: u64) -> FleetConfig {
         let limits = Limits { fences: true, share: 34, ..Limits::default() };
-        let bounds = Bounds { every: 20 * SECOND, span: 2 * SECOND, ..Bounds::default() };
-        Shape { nodes, limits, bounds, gap: SECOND / 3, seed }
+        let bounds = Bounds { interval: 20 * SECOND, max_span: 2 * SECOND, ..Bounds::default() };
+        FleetConfig { nodes, limits, bounds, call_interval: SECOND / 3, seed }
     }
 }
 
 pub struct Fleet {
     pub now: Micros,
     pub nodes: Vec<Node>,
-    shape: Shape,
+    config: FleetConfig,
     random: Random,
-    agenda: BTreeMap<(Micros, u64), (u32, What)>,
-    written: u64,
+    queue: BTreeMap<(Micros, u64), (u32, Task)>,
+    sequence: u64,
     pub notices: Vec<(Micros, u32, Notice)>,
-    /// Whoever was ever fenced, and when first.
+    /// All nodes that were ever fenced, and the time of the first fence.
     pub fences: BTreeMap<u32, Micros>,
     pub bytes: u64,
     pub windows: u64,
@@ -215,32 +215,32 @@
 const SERVERS: u32 = 3;
 
 impl Fleet {
-    pub fn new(shape: Shape, rules: &Rules, flavour: impl Fn(u32) -> Flavour) -> Fleet {
-        let nodes = (0..shape.nodes).map(|me| Self::node(me, 1, &shape, rules, flavour(me))).collect();
+    pub fn new(config: FleetConfig, rules: &Rules, variant: impl Fn(u32) -> Variant) -> Fleet {
+        let nodes = (0..config.nodes).map(|me| Self::node(me, 1, &config, rules, variant(me))).collect();
         let mut fleet = Fleet {
             now: 0,
             nodes,
-            shape,
-            random: Random(shape.seed),
-            agenda: BTreeMap::new(),
-            written: 0,
+            config,
+            random: Random(config.seed),
+            queue: BTreeMap::new(),
+            sequence: 0,
             notices: Vec::new(),
             fences: BTreeMap::new(),
             bytes: 0,
             windows: 0,
         };
-        (0..shape.nodes).for_each(|me| fleet.start(me));
+        (0..config.nodes).for_each(|me| fleet.start(me));
         fleet
     }
 
-    fn node(me: u32, incarnation: u64, shape: &Shape, rules: &Rules, flavour: Flavour) -> Node {
-        FLAVOUR.set(flavour);
-        let members = (0..shape.nodes).collect();
+    fn node(me: u32, incarnation: u64, config: &FleetConfig, rules: &Rules, variant: Variant) -> Node {
+        VARIANT.set(variant);
+        let members = (0..config.nodes).collect();
         Node {
-            checker: Checker::new(me, incarnation, members, shape.limits),
-            recorder: Recorder::new(me, shape.bounds),
-            controller: Any::fresh(&rules.settings, u64::from(me)).expect("settings"),
-            flavour,
+            checker: Checker::new(me, incarnation, members, config.limits),
+            recorder: Recorder::new(me, config.bounds),
+            controller: AnyController::fresh(&rules.settings, u64::from(me)).expect("settings"),
+            variant,
             rules: rules.clone(),
             incarnation,
             up: true,
@@ -252,8 +252,8 @@
             paused: 0,
             cut_in: 0,
             cut_out: 0,
-            flips: None,
-            ahead: 0,
+            bit_flips_from: None,
+            clock_offset: 0,
             sent: 0,
         }
     }
@@ -269,36 +269,36 @@
         };
         let list = Event::Members(MemberNews::Complete((0..SERVERS).map(member).collect()));
         let offset = self.random.span(0, SECOND);
-        for (after, what) in [(0, What::Work(list)), (offset, What::Look), (offset + 1, What::Call)] {
-            self.write(after, me, what);
+        for (after, task) in [(0, Task::Work(list)), (offset, Task::Check), (offset + 1, Task::Call)] {
+            self.schedule(after, me, task);
         }
         let rules = self.nodes[me as usize].rules.clone();
         self.input(me, Input::Rules(rules));
     }
 
-    fn write(&mut self, after: Micros, to: u32, what: What) {
-        self.written += 1;
-        self.agenda.insert((self.now + after, self.written), (to, what));
+    fn schedule(&mut self, after: Micros, to: u32, task: Task) {
+        self.sequence += 1;
+        self.queue.insert((self.now + after, self.sequence), (to, task));
     }
 
-    /// Other rules for a node, taken whole: also by its controller.
+    /// Reloads the rules of a node, including those of its controller.
     pub fn reload(&mut self, me: u32, rules: &Rules) {
-        self.reload_half(me, rules);
+        self.reload_partially(me, rules);
         let node = &mut self.nodes[me as usize];
-        FLAVOUR.set(node.flavour);
-        node.controller = Any::fresh(&rules.settings, u64::from(me)).expect("settings");
+        VARIANT.set(node.variant);
+        node.controller = AnyController::fresh(&rules.settings, u64::from(me)).expect("settings");
         node.attempts.clear();
     }
 
-    /// Other rules that the controller doesn't learn of.
-    pub fn reload_half(&mut self, me: u32, rules: &Rules) {
+    /// Reloads the rules of a node but not those of its controller.
+    pub fn reload_partially(&mut self, me: u32, rules: &Rules) {
         let node = &mut self.nodes[me as usize];
         node.rules = rules.clone();
-        node.recorder.give_up();
+        node.recorder.discard();
         self.input(me, Input::Rules(rules.clone()));
     }
 
-    /// No turn for so long.
+    /// Pauses a node.
     pub fn pause(&mut self, me: u32, span: Micros) {
         self.nodes[me as usize].paused = self.now + span;
     }
@@ -308,7 +308,7 @@
         match fault {
             Fault::Kill => {
                 node.up = false;
-                self.write(5 * SECOND, me, What::Restart);
+                self.schedule(5 * SECOND, me, Task::Restart);
             }
             Fault::Pause => node.paused = until,
             Fault::Cut => (node.cut_in, node.cut_out) = (until, until),
@@ -318,115 +318,116 @@
         }
     }
 
-    /// A word of this node's from a moment ago, that arrives after so long.
-    pub fn late_word(&mut self, of: u32, after: Micros) {
+    /// Delivers the node's current fact to all nodes after a delay.
+    pub fn deliver_late_fact(&mut self, of: u32, after: Micros) {
         let node = &self.nodes[of as usize];
-        let Some((said, bytes)) = node.fact.clone() else { return };
+        let Some((made_at, bytes)) = node.fact.clone() else { return };
         let incarnation = node.incarnation;
-        for to in 0..self.shape.nodes {
-            let fact = What::Fact { from: of, incarnation, said, bytes: bytes.clone() };
-            self.write(after, to, fact);
+        for to in 0..self.config.nodes {
+            let fact = Task::Fact { from: of, incarnation, made_at, bytes: bytes.clone() };
+            self.schedule(after, to, fact);
         }
     }
 
-    pub fn restart(&mut self, me: u32, flavour: Flavour) {
+    pub fn restart(&mut self, me: u32, variant: Variant) {
         let (incarnation, rules) =
             (self.nodes[me as usize].incarnation + 1, self.nodes[me as usize].rules.clone());
-        let flips = self.nodes[me as usize].flips;
-        self.agenda.retain(|_, (to, what)| *to != me || matches!(what, What::Fact { .. }));
-        self.nodes[me as usize] = Self::node(me, incarnation, &self.shape, &rules, flavour);
-        self.nodes[me as usize].flips = flips;
+        let bit_flips_from = self.nodes[me as usize].bit_flips_from;
+        self.queue.retain(|_, (to, task)| *to != me || matches!(task, Task::Fact { .. }));
+        self.nodes[me as usize] = Self::node(me, incarnation, &self.config, &rules, variant);
+        self.nodes[me as usize].bit_flips_from = bit_flips_from;
         self.start(me);
     }
 
-    /// Plays on until this moment.
+    /// Runs until this time.
     pub fn run(&mut self, until: Micros) {
         self.run_while(until, |_| true);
     }
 
-    /// Plays on until this moment, or until `go` says no.
+    /// Runs until this time, or until `go` returns false.
     pub fn run_while(&mut self, until: Micros, go: impl Fn(&Fleet) -> bool) {
         while go(self) {
-            let Some(entry) = self.agenda.first_entry().filter(|entry| entry.key().0 <= until) else { break };
-            let ((at, _), (to, what)) = entry.remove_entry();
+            let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= until) else { break };
+            let ((at, _), (to, task)) = entry.remove_entry();
             self.now = self.now.max(at);
             let node = &self.nodes[to as usize];
             if node.paused > self.now {
                 let after = node.paused - self.now;
-                self.write(after, to, what);
+                self.schedule(after, to, task);
                 continue;
             }
-            self.happen(to, what);
+            self.run_task(to, task);
             self.check();
         }
     }
 
-    /// What holds after each step.
+    /// Checks the invariant that holds after each step.
     fn check(&self) {
-        let most = self.shape.nodes * self.shape.limits.share / 100;
+        let most = self.config.nodes * self.config.limits.share / 100;
         let fenced = self.nodes.iter().filter(|node| node.fenced && node.up).count();
         assert!(fenced as u32 <= most, "{fenced} nodes are fenced of {most} allowed");
     }
 
-    fn happen(&mut self, me: u32, what: What) {
+    fn run_task(&mut self, me: u32, task: Task) {
         let node = &mut self.nodes[me as usize];
-        if !node.up && !matches!(what, What::Restart) {
+        if !node.up && !matches!(task, Task::Restart) {
             return;
         }
-        match what {
-            What::Restart => {
-                let flavour = node.flavour;
-                self.restart(me, flavour);
+        match task {
+            Task::Restart => {
+                let variant = node.variant;
+                self.restart(me, variant);
             }
-            What::Look => {
-                self.write(SECOND, me, What::Look);
+            Task::Check => {
+                self.schedule(SECOND, me, Task::Check);
                 let alive =
                     |(id, node): (usize, &Node)| (node.up && node.paused <= self.now).then_some(id as u32);
                 let alive: BTreeSet<u32> = self.nodes.iter().enumerate().filter_map(alive).collect();
                 self.input(me, Input::Alive(alive));
                 self.open(me);
             }
-            What::Fact { from, incarnation, said, bytes } => {
+            Task::Fact { from, incarnation, made_at, bytes } => {
                 if node.cut_in <= self.now {
-                    let age = self.now - said;
+                    let age = self.now - made_at;
                     self.input(me, Input::Heard { from, incarnation, age, bytes });
                 }
             }
-            What::Direct { from, bytes } => {
+            Task::Direct { from, bytes } => {
                 if node.cut_in <= self.now {
                     self.input(me, Input::Direct { from, bytes });
                 }
             }
-            What::Proved(rules, incarnation) => {
+            Task::SendTree(rules, incarnation) => {
                 if node.incarnation == incarnation && node.rules.version() == rules.version() {
-                    FLAVOUR.set(node.flavour);
+                    VARIANT.set(node.variant);
                     let tree = tree(&rules);
                     self.input(me, Input::Proved(tree));
                 }
             }
-            What::Play { from, id, window } => {
-                FLAVOUR.set(node.flavour);
-                let result = Window::from_bytes(&window).and_then(|window| window.play::<Any>(&node.rules));
+            Task::Play { from, id, window } => {
+                VARIANT.set(node.variant);
+                let result =
+                    Window::from_bytes(&window).and_then(|window| window.play::<AnyController>(&node.rules));
                 self.input(me, Input::Played { from, id, result });
             }
-            What::Call => {
-                let after = self.random.span(1, 2 * self.shape.gap);
+            Task::Call => {
+                let after = self.random.span(1, 2 * self.config.call_interval);
                 let node = &mut self.nodes[me as usize];
                 node.calls += 1;
                 let (id, class) = (CallId(node.calls), (node.calls % 3) as usize);
                 let call = Call { id, class, patience: 3 * SECOND, width: 1.0, ..Call::default() };
                 node.attempts.insert(id, 0);
                 self.work(me, Event::Call(call));
-                self.write(after, me, What::Call);
+                self.schedule(after, me, Task::Call);
             }
-            What::Work(event) => self.work(me, event),
+            Task::Work(event) => self.work(me, event),
         }
     }
 
     fn open(&mut self, me: u32) {
         let now = self.now;
         self.turn(me, |node| {
-            let now = now + node.ahead;
+            let now = now + node.clock_offset;
             let (version, plan) = (node.rules.version(), node.rules.plan_digest());
             node.recorder.open(now, version, plan, &node.controller);
         });
@@ -435,12 +436,12 @@
     fn work(&mut self, me: u32, event: Event) {
         let (now, mut actions, mut sealed) = (self.now, Vec::new(), None);
         let done = self.turn(me, |node| {
-            let now = now + node.ahead;
-            node.recorder.event(now, &event);
+            let now = now + node.clock_offset;
+            node.recorder.record_event(now, &event);
             node.controller.decide(now, event.clone(), &mut actions);
-            if node.recorder.acted(now, &actions) {
-                if node.flips.is_some_and(|from| now >= from) {
-                    flip(&mut node.controller, &node.rules);
+            if node.recorder.record_actions(now, &actions) {
+                if node.bit_flips_from.is_some_and(|from| now >= from) {
+                    flip_bit(&mut node.controller, &node.rules);
                 }
                 sealed = node.recorder.close(&node.controller);
             }
@@ -468,9 +469,9 @@
                         false => Event::Started { call, attempt, server, lag },
                         true => Event::Ended { call, attempt, server, outcome, lag, closed, reason, report },
                     };
-                    self.write(lag, me, What::Work(event));
+                    self.schedule(lag, me, Task::Work(event));
                 }
-                Action::Timer { token, delay } => self.write(delay, me, What::Work(Event::Timer(token))),
+                Action::Timer { token, delay } => self.schedule(delay, me, Task::Work(Event::Timer(token))),
                 Action::Refuse { call, .. } | Action::Fail(call) => {
                     self.nodes[me as usize].attempts.remove(&call);
                 }
@@ -479,10 +480,10 @@
         }
     }
 
-    /// A turn of a node's process. `false` where it ended in it.
+    /// Runs a turn of a node's process. Returns `false` if the process ended in it.
     fn turn(&mut self, me: u32, turn: impl FnOnce(&mut Node)) -> bool {
         let node = &mut self.nodes[me as usize];
-        FLAVOUR.set(node.flavour);
+        VARIANT.set(node.variant);
         scene::turn(me as usize);
         let ended = catch_unwind(AssertUnwindSafe(|| turn(node)));
         if let Err(cause) = ended {
@@ -498,16 +499,16 @@
 
     fn input(&mut self, me: u32, input: Input) {
         let (now, mut out) = (self.now, Vec::new());
-        if !self.turn(me, |node| node.checker.handle(now + node.ahead, input, &mut out)) {
+        if !self.turn(me, |node| node.checker.handle(now + node.clock_offset, input, &mut out)) {
             return;
         }
         for output in out {
-            self.carry(me, output);
+            self.handle_output(me, output);
         }
     }
 
-    fn carry(&mut self, me: u32, output: Output) {
-        let others = (0..self.shape.nodes).filter(|&to| to != me);
+    fn handle_output(&mut self, me: u32, output: Output) {
+        let others = (0..self.config.nodes).filter(|&to| to != me);
         let (cut, incarnation) =
             (self.nodes[me as usize].cut_out > self.now, self.nodes[me as usize].incarnation);
         match output {
@@ -520,26 +521,26 @@
                 }
                 for to in others {
                     let after = self.random.span(100_000, 2 * SECOND);
-                    let fact = What::Fact { from: me, incarnation, said: self.now, bytes: bytes.clone() };
-                    self.write(after, to, fact);
+                    let fact = Task::Fact { from: me, incarnation, made_at: self.now, bytes: bytes.clone() };
+                    self.schedule(after, to, fact);
                 }
             }
             Output::Direct { to, bytes } => {
                 assert!(bytes.len() <= 16 << 10, "a message of {} bytes", bytes.len());
                 self.bytes += bytes.len() as u64;
-                // Some are lost, some come twice, and not in order.
+                // Messages may be lost, duplicated and reordered.
                 let copies = [1, 1, 1, 1, 1, 1, 1, 1, 0, 2][self.random.below(10) as usize];
                 for _ in 0..if cut { 0 } else { copies } {
                     let after = self.random.span(1_000, 50_000);
-                    self.write(after, to, What::Direct { from: me, bytes: bytes.clone() });
+                    self.schedule(after, to, Task::Direct { from: me, bytes: bytes.clone() });
                 }
             }
             Output::Cases => {
                 let rules = self.nodes[me as usize].rules.clone();
-                self.write(SECOND, me, What::Proved(rules, incarnation));
+                self.schedule(SECOND, me, Task::SendTree(rules, incarnation));
             }
             Output::Play { from, id, window } => {
-                self.write(SECOND / 5, me, What::Play { from, id, window });
+                self.schedule(SECOND / 5, me, Task::Play { from, id, window });
             }
             Output::Fence(fence) => {
                 self.nodes[me as usize].fenced = fence.is_some();
@@ -552,13 +553,13 @@
         }
     }
 
-    /// When a notice of this kind first stood in a log.
-    pub fn first(&self, of: impl Fn(u32, &Notice) -> bool) -> Option<Micros> {
+    /// Returns the time of the first matching notice.
+    pub fn first_notice(&self, of: impl Fn(u32, &Notice) -> bool) -> Option<Micros> {
         self.notices.iter().find(|(_, me, notice)| of(*me, notice)).map(|(at, ..)| *at)
     }
 
-    /// Nothing that blames anybody.
-    pub fn quiet(&self) -> bool {
+    /// Whether no notice reports a fault and no node was fenced.
+    pub fn raises_no_alarm(&self) -> bool {
         self.fences.is_empty()
             && self.notices.iter().all(|(.., notice)| {
                 matches!(notice, Notice::Version(_) | Notice::Versions { .. } | Notice::OneVersion { .. })
@@ -566,14 +567,14 @@
     }
 }
 
-/// A bit of what the controller knows of a server changes.
-fn flip(controller: &mut Any, rules: &Rules) {
+/// Flips a bit of what the controller knows of a server.
+fn flip_bit(controller: &mut AnyController, rules: &Rules) {
     let mut bytes = postcard::to_stdvec(controller).expect("a state");
     let settings = postcard::to_stdvec(&rules.settings).expect("settings").len();
-    // An exponent's bit somewhere behind the settings; the first place that leaves a readable state.
+    // Flips the first bit after the settings that leaves a decodable state.
     for at in settings + 40..bytes.len() {
         bytes[at] ^= 1;
-        if let Ok(changed) = postcard::from_bytes::<Any>(&bytes) {
+        if let Ok(changed) = postcard::from_bytes::<AnyController>(&bytes) {
             *controller = changed;
             return;
         }
--- a/crates/lemoncleat-consistency/tests/points.rs
+++ b/crates/lemoncleat-consistency/tests/points.rs
@@ -1,4 +1,4 @@
-//! Each numbered point of this package in turn, with each fault that fits it.
+//! Runs each fault point of this package with each of its faults.
 #![cfg(feature = "faults")]
 
 mod common;
@@ -7,28 +7,28 @@
 use lemoncleat_consistency::*;
 use lemoncleat_faults::{scene, Fault, Point, POINTS};
 
-/// Nine nodes, of which one decides wrongly, live through a reload. Whatever happens at the point: nobody else is
-/// fenced, and in the end it is.
-fn play(armed: Option<(&'static Point, u32, Fault, Option<usize>)>) -> (Fleet, bool, bool) {
+/// Seven nodes, one of which decides wrongly, go through a reload. Whatever fault occurs at the point, no
+/// other node is fenced, and the wrong one is fenced in the end.
+fn run_scenario(armed: Option<(&'static Point, u32, Fault, Option<usize>)>) -> (Fleet, bool, bool) {
     scene::begin(armed);
-    let mut shape = Shape::new(7, 21);
-    shape.gap = SECOND;
-    let flavour = |me| if me == 2 { Flavour::Patched } else { Flavour::Right };
-    let mut fleet = Fleet::new(shape, &rules(1.0), flavour);
+    let mut config = FleetConfig::new(7, 21);
+    config.call_interval = SECOND;
+    let variant = |me| if me == 2 { Variant::Patched } else { Variant::Correct };
+    let mut fleet = Fleet::new(config, &rules(1.0), variant);
     fleet.run(60 * SECOND);
     (0..7).for_each(|me| fleet.reload(me, &rules(1.5)));
     fleet.run(240 * SECOND);
-    let spent = scene::spent();
+    let reached_now = scene::spent();
     let fenced = fleet.nodes[2].fenced;
-    (fleet, spent, fenced)
+    (fleet, reached_now, fenced)
 }
 
 #[test]
-fn each_point_with_each_fault() {
+fn fences_only_the_faulty_node_with_each_fault_at_each_point() {
     let own: Vec<&'static Point> =
         POINTS.iter().copied().filter(|point| point.package == "consistency").collect();
     assert!(!own.is_empty());
-    let (fleet, _, fenced) = play(None);
+    let (fleet, _, fenced) = run_scenario(None);
     let passes = scene::end();
     assert!(fenced, "{:?}", fleet.notices);
     for point in &own {
@@ -41,17 +41,17 @@
     println!("{:<16} {:<8} {:>4}  result", "point", "fault", "skip");
     for point in own {
         for &fault in point.faults {
-            let mut met = false;
+            let mut reached = false;
             for skip in 0..3 {
-                let (fleet, spent, fenced) = play(Some((point, skip, fault, None)));
+                let (fleet, reached_now, fenced) = run_scenario(Some((point, skip, fault, None)));
                 scene::end();
-                met |= spent;
+                reached |= reached_now;
                 let first = fleet.fences.get(&2).map(|at| at / SECOND);
                 println!(
                     "{:<16} {:<8} {skip:>4}  {}, fenced first at {first:?} s",
                     point.name,
                     fault.name(),
-                    if spent { "met" } else { "not reached" }
+                    if reached_now { "reached" } else { "not reached" }
                 );
                 assert!(
                     fleet.fences.keys().all(|&me| me == 2),
@@ -65,7 +65,7 @@
                     }
                 }
             }
-            assert!(met, "{} with {} was reached by no run", point.name, fault.name());
+            assert!(reached, "{} with {} was reached by no run", point.name, fault.name());
         }
     }
 }
--- a/crates/lemoncleat-zones/tests/bed/mod.rs
+++ b/crates/lemoncleat-zones/tests/bed/mod.rs
@@ -121,7 +121,7 @@
 
 enum Event {
     Fact { to: usize, origin: u32, made: Micros, bytes: Vec<u8> },
-    Settle { node: usize, zone: u16, server: u16, outcome: Outcome, call: Call, is_retry: bool, sent: Micros },
+    Settle { node: usize, zone: u16, server: u16, outcome: Outcome, call: Call, retry: bool, sent: Micros },
 }
 
 #[derive(Clone, Copy)]
@@ -487,7 +487,7 @@
             self.choose_server(node, call, exclude)
         };
         let Some((zone, server)) = target else { return };
-        let is_retry = exclude.is_some();
+        let retry = exclude.is_some();
         self.input(
             node,
             Input::Outcome {
@@ -506,7 +506,7 @@
         let (lost, slow) = self.failure(zone, self.nodes[node].home);
         let now = self.now;
         let settle = |sim: &mut Simulation, span: Micros, outcome: Outcome| {
-            sim.schedule(span, Event::Settle { node, zone, server, outcome, call, is_retry, sent: now });
+            sim.schedule(span, Event::Settle { node, zone, server, outcome, call, retry, sent: now });
         };
         let host = &self.hosts[usize::from(zone)][usize::from(server)];
         let present_capacity = self.present_capacity(host);
@@ -537,7 +537,7 @@
         settle(self, wait as Micros, Outcome::Answered);
     }
 
-    fn settle(&mut self, node: usize, zone: u16, server: u16, outcome: Outcome, call: Call, is_retry: bool) {
+    fn settle(&mut self, node: usize, zone: u16, server: u16, outcome: Outcome, call: Call, retry: bool) {
         let backoff = &mut self.nodes[node].backoff[usize::from(zone)][usize::from(server)];
         match outcome {
             Outcome::Answered => {
@@ -558,7 +558,7 @@
                 }
             }
         }
-        if !is_retry && call.fixed_zone.is_none() {
+        if !retry && call.fixed_zone.is_none() {
             self.call(node, call, Some(zone));
         }
     }
@@ -582,7 +582,7 @@
                         }
                         self.input(to, Input::FactReceived { origin, age: now - made, bytes });
                     }
-                    Event::Settle { node, zone, server, outcome, call, is_retry, sent } => {
+                    Event::Settle { node, zone, server, outcome, call, retry, sent } => {
                         let input = Input::Outcome {
                             zone: ZoneId(zone),
                             server,
@@ -592,7 +592,7 @@
                             cost: 0,
                         };
                         self.input(node, input);
-                        self.settle(node, zone, server, outcome, call, is_retry);
+                        self.settle(node, zone, server, outcome, call, retry);
                     }
                 }
             }
--- a/crates/lemoncleat-zones/tests/seeds.rs
+++ b/crates/lemoncleat-zones/tests/seeds.rs
@@ -92,7 +92,8 @@
             let fastest = (270.0 / 600.0 - 0.3) / 0.7 * 15.0;
             full.sort_by(f64::total_cmp);
             println!(
-                "{nodes:3} {name:10} lost {:.0}/{:.0} = {:.2}  spread {:.2} s  worth during x{:.3} after x{:.3}  \
+                "{nodes:3} {name:10} lost {:.0}/{:.0} = {:.2}  spread {:.2} s  \
+                 worth during x{:.3} after x{:.3}  \
                  full {:?} s, fastest {fastest:.1}  overload crashes {crashes:?}  fact {:.0} bytes",
                 lost[1] / seeds as f64,
                 lost[0] / seeds as f64,
