--- a/crates/lemoncleat-credit/src/command.rs
+++ b/crates/lemoncleat-credit/src/command.rs
@@ -1,225 +1,231 @@
-//! Orders of the agreed log, and what the ledger tells the nodes.
+//! The commands of the replicated log, and the effects that the ledger reports to the nodes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Customer, Micros, Node, Units};
 
-/// Most orders in one entry of the log.
-pub const MOST_COMMANDS: usize = 4096;
-/// Most bytes of one entry.
-pub const MOST_ENTRY: usize = 256 * 1024;
-/// Most calls that a settlement names; what others spent is one sum.
-pub const MOST_CHARGES: usize = 256;
+/// Maximum number of commands in one entry of the log.
+pub const MAX_ENTRY_COMMANDS: usize = 4096;
+/// Maximum size of one entry, in bytes.
+pub const MAX_ENTRY_BYTES: usize = 256 * 1024;
+/// Maximum number of calls listed in a settlement; the units spent by further calls are included only in its
+/// total.
+pub const MAX_CHARGES: usize = 256;
 
-/// A wish for money of one customer.
+/// A demand for units of one customer's balance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
-    /// Whose money.
+pub struct Demand {
+    /// The customer whose balance is used.
     pub customer: Customer,
-    /// What the node would spend in a few round trips.
+    /// The units that the node expects to spend within a few round trips.
     pub units: Units,
-    /// Less than this is of no use: one call's set-up and first seconds.
-    pub least: Units,
+    /// The minimum useful amount: the set-up and first seconds of one call.
+    pub min_units: Units,
 }
 
-/// What a call was charged.
+/// The units charged to a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Charge {
     /// The call.
     pub call: u64,
-    /// What it spent of the grant.
+    /// The units that it spent from the grant.
     pub units: Units,
 }
 
-/// An order to the ledger. Each does its work once, however often it stands in the log.
+/// A command to the ledger. Each takes effect once, however often it occurs in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A customer is added, or the funds from which on they count as short are set anew.
-    Open {
-        /// Who.
+    /// Adds a customer, or changes the threshold below which its funds count as low.
+    OpenAccount {
+        /// The customer.
         customer: Customer,
-        /// Free units below which money is short.
-        low: Units,
+        /// Free units below which funds count as low.
+        low_threshold: Units,
     },
-    /// A customer is removed: no new grants; the account goes with its last grant.
-    Close {
-        /// Who.
+    /// Removes a customer: no new grants are given, and the account is deleted with its last grant.
+    CloseAccount {
+        /// The customer.
         customer: Customer,
     },
-    /// Money comes in.
+    /// Adds funds.
     TopUp {
-        /// The operator's order; each counts once. Numbers rise: far older ones than were seen are passed over.
+        /// The number of the operator's order; each counts once. Numbers increase: an order far older than
+        /// the remembered ones is ignored.
         order: u64,
-        /// For whom.
+        /// The customer.
         customer: Customer,
-        /// How much.
+        /// The number of units.
         units: Units,
     },
-    /// A node asks for grants.
-    Ask {
-        /// Who asks.
+    /// Requests grants for a node.
+    RequestGrants {
+        /// The requesting node.
         node: Node,
-        /// Its start.
+        /// The node's incarnation.
         incarnation: u64,
-        /// Its asks are numbered upwards; each is heard once.
-        ask: u64,
-        /// For what, one grant each.
-        wants: Vec<Want>,
+        /// The number of the request. Numbers increase, and each is processed once.
+        request: u64,
+        /// The demands; each gets one grant.
+        demands: Vec<Demand>,
     },
-    /// A grant is over for its node, which spent this of it.
+    /// Settles a grant: its node will spend no more of it and has spent this amount.
     Settle {
-        /// Which.
+        /// The grant.
         grant: u64,
-        /// Whose.
+        /// The node concerned.
         node: Node,
-        /// The start that settles. Another than the one which asked is heard only after the grant ran out.
+        /// The settling incarnation. If it is not the one that requested the grant, the command is accepted
+        /// only after the grant has expired.
         incarnation: u64,
-        /// What was spent in all.
+        /// The total units spent.
         spent: Units,
-        /// For which calls; what is missing to `spent` went to calls beyond the limit.
+        /// The calls charged; the rest of `spent` belongs to calls beyond the limit.
         charges: Vec<Charge>,
     },
-    /// A part of a grant that the node will not spend.
-    GiveBack {
-        /// Which grant.
+    /// Returns part of a grant that the node will not spend.
+    ReturnUnits {
+        /// The grant.
         grant: u64,
-        /// The start that gives back.
+        /// The returning incarnation.
         incarnation: u64,
-        /// The grant's returns are numbered from 1.
+        /// The number of the return; the returns of a grant are numbered from 1.
         part: u32,
-        /// All that was given back so far, this part with it.
+        /// The total units returned so far, including this return.
         total: Units,
     },
-    /// Time has passed, as the leader measured since it applied the tick before.
+    /// Advances the ledger's time by what the leader measured since it applied the previous tick.
     Tick {
         /// The number of that tick.
         after: u64,
-        /// How long.
+        /// The elapsed time.
         by: Micros,
     },
-    /// The operator ends a grant that ran out unsettled.
+    /// Writes off a grant that expired without settlement, on the operator's order.
     WriteOff {
-        /// Which.
+        /// The grant.
         grant: u64,
-        /// What its node is known to have spent of it.
+        /// The units that its node is known to have spent of it.
         spent: Units,
     },
-    /// What a node spent beyond its grants while the ledger was away, as settings allow.
-    Overdrawn {
-        /// Who.
+    /// Records what a node spent beyond its grants while the ledger was unreachable, as far as settings
+    /// allow.
+    RecordOverdraft {
+        /// The node.
         node: Node,
-        /// Its start.
+        /// The node's incarnation.
         incarnation: u64,
-        /// Its overdrafts are numbered upwards.
+        /// The number of the overdraft. Numbers increase.
         number: u64,
-        /// Whose money.
+        /// The customer whose balance is used.
         customer: Customer,
-        /// How much.
+        /// The number of units.
         spent: Units,
-        /// For which calls.
+        /// The calls charged.
         charges: Vec<Charge>,
     },
 }
 
-/// What an order led to. Nodes read all of them from their copy of the log, and heed what concerns them.
+/// The effect of a command. Nodes read all effects from their copy of the log and process those that concern
+/// them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
     /// A grant was given.
     Granted {
-        /// To whom.
+        /// The node concerned.
         node: Node,
-        /// The start that asked.
+        /// The incarnation that made the request.
         incarnation: u64,
-        /// Its ask.
-        ask: u64,
-        /// The grant's number, never given again.
+        /// The number of its request.
+        request: u64,
+        /// The grant's number, which is never reused.
         grant: u64,
-        /// Whose money.
+        /// The customer whose balance is used.
         customer: Customer,
-        /// How much.
+        /// The number of units.
         units: Units,
     },
-    /// Nothing could be given.
+    /// No grant could be given.
     Denied {
-        /// To whom.
+        /// The node concerned.
         node: Node,
-        /// The start that asked.
+        /// The incarnation that made the request.
         incarnation: u64,
-        /// Its ask.
-        ask: u64,
-        /// Whose money is lacking.
+        /// The number of its request.
+        request: u64,
+        /// The customer whose funds are insufficient.
         customer: Customer,
     },
-    /// A grant is settled or written off, now or before.
+    /// A grant was settled or written off, by this command or before.
     Settled {
-        /// Which.
+        /// The grant.
         grant: u64,
     },
-    /// A part of a grant came back, now or before.
+    /// Part of a grant was returned, by this command or before.
     Returned {
-        /// Which grant.
+        /// The grant.
         grant: u64,
-        /// Its last part that is known.
+        /// The number of the last known return.
         part: u32,
     },
-    /// An overdraft is on the books, now or before.
-    Booked {
-        /// Whose.
+    /// An overdraft was recorded, by this command or before.
+    OverdraftRecorded {
+        /// The node concerned.
         node: Node,
-        /// The start that overdrew.
+        /// The incarnation that overdrew.
         incarnation: u64,
-        /// Its number.
+        /// The number of the overdraft.
         number: u64,
     },
-    /// A top-up is on the books, now or before; or its customer is unknown.
+    /// A top-up was processed, by this command or before.
     ToppedUp {
-        /// The order.
+        /// The number of the operator's order.
         order: u64,
-        /// Whether it counts.
-        good: bool,
+        /// Whether it was booked; false if the customer is unknown or removed.
+        booked: bool,
     },
-    /// How much a customer has left.
+    /// The remaining funds of a customer.
     Funds {
-        /// Who.
+        /// The customer.
         customer: Customer,
-        /// Sixteenths of the funds that count as short: 16 from there on, 0 for next to nothing.
+        /// The free units in sixteenths of the low-funds threshold: 16 at or above the threshold, 0 for
+        /// almost none.
         level: u8,
-        /// The least wish that could not be met; 0 if none is known.
-        dry: Units,
+        /// The smallest demand that could not be met; 0 if there is none.
+        min_unmet: Units,
     },
-    /// Money is short: nodes give back what they don't need.
-    CallBack {
-        /// A number that rises.
+    /// Funds are low: nodes return units that they do not need.
+    Recall {
+        /// An increasing number.
         number: u64,
-        /// Whose money.
+        /// The customer whose balance is used.
         customer: Customer,
     },
-    /// A grant ran out unsettled. It stays charged whole until it is settled or written off.
-    Lapsed {
-        /// Which.
+    /// A grant expired without settlement. It stays charged in full until it is settled or written off.
+    Expired {
+        /// The grant.
         grant: u64,
-        /// Whose.
+        /// The node concerned.
         node: Node,
     },
     /// A customer is removed.
-    Closed {
-        /// Who.
+    AccountClosed {
+        /// The customer.
         customer: Customer,
     },
 }
 
-/// The bytes of an entry. None if it is beyond the limits.
-pub fn write(commands: &[Command]) -> Option<Vec<u8>> {
-    if commands.len() > MOST_COMMANDS {
+/// Encodes an entry. `None` if it exceeds the limits.
+pub fn encode(commands: &[Command]) -> Option<Vec<u8>> {
+    if commands.len() > MAX_ENTRY_COMMANDS {
         return None;
     }
-    postcard::to_stdvec(commands).ok().filter(|bytes| bytes.len() <= MOST_ENTRY)
+    postcard::to_stdvec(commands).ok().filter(|bytes| bytes.len() <= MAX_ENTRY_BYTES)
 }
 
-/// The orders of an entry. None if it can't be read or is beyond the limits.
-pub fn read(bytes: &[u8]) -> Option<Vec<Command>> {
-    if bytes.len() > MOST_ENTRY {
+/// Decodes the commands of an entry. `None` if it is malformed or exceeds the limits.
+pub fn decode(bytes: &[u8]) -> Option<Vec<Command>> {
+    if bytes.len() > MAX_ENTRY_BYTES {
         return None;
     }
-    postcard::from_bytes::<Vec<Command>>(bytes).ok().filter(|commands| commands.len() <= MOST_COMMANDS)
+    postcard::from_bytes::<Vec<Command>>(bytes).ok().filter(|commands| commands.len() <= MAX_ENTRY_COMMANDS)
 }
--- a/crates/lemoncleat-credit/src/leader.rs
+++ b/crates/lemoncleat-credit/src/leader.rs
@@ -1,81 +1,83 @@
-//! What the log's leader does beside leading: joining orders into entries, and telling the time.
+//! Tasks of the log's leader: batching commands into entries, and measuring time.
 
-use crate::{command, Command, Ledger, Micros, MOST_COMMANDS, MOST_ENTRY};
+use crate::{command, Command, Ledger, Micros, MAX_ENTRY_BYTES, MAX_ENTRY_COMMANDS};
 
-/// Joins the orders of many nodes into one entry.
+/// Batches the commands of many nodes into one entry.
 #[derive(Clone, Debug)]
-pub struct Joiner {
+pub struct EntryBatcher {
     window: Micros,
-    held: Vec<Command>,
+    batch: Vec<Command>,
     bytes: usize,
-    due: Option<Micros>,
-    /// Entries that could not be read.
+    due_at: Option<Micros>,
+    /// Number of entries that could not be decoded.
     pub unreadable: u64,
 }
 
-impl Joiner {
-    /// Holds orders for at most `window`.
-    pub fn new(window: Micros) -> Joiner {
-        Joiner { window, held: Vec::new(), bytes: 0, due: None, unreadable: 0 }
+impl EntryBatcher {
+    /// Creates a batcher that holds commands for at most `window`.
+    pub fn new(window: Micros) -> EntryBatcher {
+        EntryBatcher { window, batch: Vec::new(), bytes: 0, due_at: None, unreadable: 0 }
     }
 
-    /// Takes the orders of one node's entry, and gives out what is full.
+    /// Adds the commands of one node's entry, and returns an entry if the batch is full.
     pub fn add(&mut self, now: Micros, entry: &[u8]) -> Option<Vec<u8>> {
-        let Some(commands) = command::read(entry) else {
+        let Some(commands) = command::decode(entry) else {
             self.unreadable += 1;
             return None;
         };
-        let full =
-            self.bytes + entry.len() > MOST_ENTRY - 16 || self.held.len() + commands.len() > MOST_COMMANDS;
-        let out = if full { self.take() } else { None };
+        let full = self.bytes + entry.len() > MAX_ENTRY_BYTES - 16
+            || self.batch.len() + commands.len() > MAX_ENTRY_COMMANDS;
+        let out = if full { self.take_batch() } else { None };
         self.bytes += entry.len();
-        self.held.extend(commands);
-        self.due.get_or_insert(now.saturating_add(self.window));
+        self.batch.extend(commands);
+        self.due_at.get_or_insert(now.saturating_add(self.window));
         out
     }
 
-    /// When it wants the next turn.
-    pub fn wake(&self) -> Option<Micros> {
-        self.due
+    /// Returns the time at which the batch is due.
+    pub fn due_at(&self) -> Option<Micros> {
+        self.due_at
     }
 
-    /// The entry, if its time has come.
-    pub fn due(&mut self, now: Micros) -> Option<Vec<u8>> {
-        if self.due.is_some_and(|due| due <= now) {
-            self.take()
+    /// Returns the entry if it is due.
+    pub fn take_due(&mut self, now: Micros) -> Option<Vec<u8>> {
+        if self.due_at.is_some_and(|due| due <= now) {
+            self.take_batch()
         } else {
             None
         }
     }
 
-    fn take(&mut self) -> Option<Vec<u8>> {
-        self.due = None;
+    fn take_batch(&mut self) -> Option<Vec<u8>> {
+        self.due_at = None;
         self.bytes = 0;
-        let held = std::mem::take(&mut self.held);
-        command::write(&held).filter(|_| !held.is_empty())
+        let batch = std::mem::take(&mut self.batch);
+        command::encode(&batch).filter(|_| !batch.is_empty())
     }
 }
 
-/// Measures on the leader's clock how long ago it applied the last tick.
+/// Measures on the leader's clock the time since it applied the last tick.
 ///
-/// Spans of two ticks never overlap: the next begins when its leader has applied the one before, and the ledger
-/// passes over a tick that was measured from another. So the ledger's time is never ahead of real time by more than
-/// the clocks' drift, and one tick is never longer than the longest allowed, however far a clock jumps.
+/// The spans of two ticks never overlap: the next begins when its leader has applied the previous one, and
+/// the ledger ignores a tick that was measured from another. So the ledger's time is never ahead of real time
+/// by more than the drift of the clocks, and no tick is longer than the allowed maximum, however far a clock
+/// jumps.
 #[derive(Clone, Debug, Default)]
 pub struct Ticker {
-    seen: Option<(u64, Micros)>,
+    last_tick: Option<(u64, Micros)>,
 }
 
 impl Ticker {
-    /// To be called after each entry was applied, and now and then: an order to propose when `every` has passed.
-    pub fn tick(&mut self, now: Micros, ledger: &Ledger, every: Micros) -> Option<Command> {
-        match self.seen {
+    /// Must be called after each applied entry and at regular intervals. Returns a command to propose when
+    /// `interval` has passed.
+    pub fn tick(&mut self, now: Micros, ledger: &Ledger, interval: Micros) -> Option<Command> {
+        match self.last_tick {
             Some((after, at)) if after == ledger.ticks() => {
                 let by = now.saturating_sub(at);
-                (by >= every).then_some(Command::Tick { after, by })
+                (by >= interval).then_some(Command::Tick { after, by })
             }
             _ => {
-                self.seen = Some((ledger.ticks(), now));
+                self.last_tick = Some((ledger.ticks(), now));
                 None
             }
         }
--- a/crates/lemoncleat-credit/src/ledger.rs
+++ b/crates/lemoncleat-credit/src/ledger.rs
@@ -1,28 +1,29 @@
-//! The books: a state machine over the orders of the agreed log.
+//! The ledger: a state machine over the commands of the replicated log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
-use crate::{command, is_planted, Command, Customer, Effect, Micros, Node, Units, Want, SECOND};
+use crate::{command, is_planted, Command, Customer, Demand, Effect, Micros, Node, Units, SECOND};
 
-/// What holds for the ledger. The same at every voter: a change is a new log.
+/// The settings of the ledger. They are the same at every voter: a change requires a new log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LedgerSettings {
-    /// How long a grant may be spent.
+    /// The validity of a grant.
     pub validity: Micros,
-    /// How far two clocks may drift apart in that time, pauses of a clock with it.
+    /// Maximum drift between two clocks within that time, including pauses of a clock.
     pub drift: Micros,
-    /// No tick counts for more than this.
-    pub most_tick: Micros,
-    /// A grant is at most this part of what is free, and the open grants of the customer are counted onto it.
-    pub share: u64,
-    /// Most customers.
-    pub most_customers: usize,
-    /// Most open grants of a customer.
-    pub most_grants: u64,
-    /// Order numbers of top-ups that are remembered.
-    pub most_orders: usize,
+    /// Maximum time that one tick adds.
+    pub max_tick: Micros,
+    /// A grant is at most the free units divided by this number plus the number of the customer's open
+    /// grants.
+    pub free_divisor: u64,
+    /// Maximum number of customers.
+    pub max_customers: usize,
+    /// Maximum number of open grants of a customer.
+    pub max_open_grants: u64,
+    /// Number of top-up orders that are remembered.
+    pub max_remembered_orders: usize,
 }
 
 impl Default for LedgerSettings {
@@ -30,67 +31,67 @@
         LedgerSettings {
             validity: 30 * SECOND,
             drift: SECOND,
-            most_tick: SECOND,
-            share: 8,
-            most_customers: 65_536,
-            most_grants: 16_384,
-            most_orders: 65_536,
+            max_tick: SECOND,
+            free_divisor: 8,
+            max_customers: 65_536,
+            max_open_grants: 16_384,
+            max_remembered_orders: 65_536,
         }
     }
 }
 
-/// A customer's money. `funded + owed = free + granted + spent`.
+/// A customer's balance. `funded + owed = free + granted + spent`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// What came in.
+    /// Units paid in.
     pub funded: Units,
-    /// What may be granted.
+    /// Units available for grants.
     pub free: Units,
-    /// What is in open grants, those that ran out unsettled with them.
+    /// Units in open grants, including those that expired without settlement.
     pub granted: Units,
-    /// What calls were charged.
+    /// Units charged to calls.
     pub spent: Units,
-    /// What was overdrawn, to be paid by the next top-up.
+    /// Units overdrawn, to be paid from the next top-up.
     pub owed: Units,
-    /// Free units below which money is short.
-    pub low: Units,
-    /// Open grants.
+    /// Free units below which funds count as low.
+    pub low_threshold: Units,
+    /// Number of open grants.
     pub grants: u64,
-    /// The least wish that could not be met; 0 if none is known.
-    pub dry: Units,
-    /// Removed: no new grants.
+    /// The smallest demand that could not be met; 0 if there is none.
+    pub min_unmet: Units,
+    /// Whether the customer is removed and gets no new grants.
     pub closed: bool,
-    told: Option<(u8, Units)>,
-    called_back: u64,
+    reported_funds: Option<(u8, Units)>,
+    recalled_at_tick: u64,
 }
 
 /// A grant that is not settled.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Open {
-    /// Whose it is.
+pub struct OpenGrant {
+    /// The node that holds it.
     pub node: Node,
-    /// The start that asked.
+    /// The incarnation that requested it.
     pub incarnation: u64,
-    /// Whose money.
+    /// The customer whose balance it uses.
     pub customer: Customer,
-    /// What is left to the node, without what it gave back.
+    /// Units left to the node, without those it returned.
     pub units: Units,
-    /// It ran out.
-    pub lapsed: bool,
-    given_back: Units,
+    /// Whether it has expired.
+    pub expired: bool,
+    returned: Units,
     part: u32,
-    lapses: Micros,
+    expires_at: Micros,
 }
 
-/// Marks of what a node asked for and overdrew, so that each is heard once.
+/// The highest request and overdraft numbers seen from a node, so that each is processed once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-struct Heard {
+struct SeenNumbers {
     incarnation: u64,
-    ask: u64,
-    overdrawn: u64,
+    request: u64,
+    overdraft: u64,
 }
 
-/// The books.
+/// The accounts and open grants of all customers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     settings: LedgerSettings,
@@ -98,21 +99,21 @@
     ticks: u64,
     elapsed: Micros,
     next_grant: u64,
-    call_backs: u64,
+    recalls: u64,
     accounts: BTreeMap<Customer, Account>,
-    open: BTreeMap<u64, Open>,
-    lapses: BTreeSet<(Micros, u64)>,
-    heard: BTreeMap<Node, Heard>,
-    orders: BTreeSet<u64>,
+    open: BTreeMap<u64, OpenGrant>,
+    expirations: BTreeSet<(Micros, u64)>,
+    seen_numbers: BTreeMap<Node, SeenNumbers>,
+    top_up_orders: BTreeSet<u64>,
     oldest_order: u64,
     unreadable: u64,
 }
 
-/// Nodes whose asks are remembered; more than any fleet has.
-const MOST_NODES: usize = 65_536;
+/// Maximum number of nodes whose requests are remembered; larger than any fleet.
+const MAX_NODES: usize = 65_536;
 
 impl Ledger {
-    /// Empty books.
+    /// Creates an empty ledger.
     pub fn new(settings: LedgerSettings) -> Ledger {
         Ledger {
             settings,
@@ -120,59 +121,60 @@
             ticks: 0,
             elapsed: 0,
             next_grant: 1,
-            call_backs: 0,
+            recalls: 0,
             accounts: BTreeMap::new(),
             open: BTreeMap::new(),
-            lapses: BTreeSet::new(),
-            heard: BTreeMap::new(),
-            orders: BTreeSet::new(),
+            expirations: BTreeSet::new(),
+            seen_numbers: BTreeMap::new(),
+            top_up_orders: BTreeSet::new(),
             oldest_order: 0,
             unreadable: 0,
         }
     }
 
-    /// Applies the entry at a place of the log, and tells what it led to. One that was applied before does nothing.
+    /// Applies the entry at a log index and returns its effects. An entry that was already applied has no
+    /// effect.
     pub fn apply(&mut self, index: u64, entry: &[u8]) -> Vec<Effect> {
         let mut effects = Vec::new();
         if index <= self.applied {
             return effects;
         }
         self.applied = index;
-        let Some(commands) = command::read(entry) else {
+        let Some(commands) = command::decode(entry) else {
             self.unreadable += 1;
             return effects;
         };
         let mut touched = BTreeSet::new();
-        for order in commands {
+        for command in commands {
             lemoncleat_faults::point!(CREDIT_APPLY);
-            self.order(order, &mut touched, &mut effects);
+            self.execute(command, &mut touched, &mut effects);
         }
         for customer in touched {
-            self.tell_funds(customer, &mut effects);
+            self.report_funds(customer, &mut effects);
         }
         effects
     }
 
-    /// What a node that starts should know first: how much each customer has left.
+    /// Returns the remaining funds of each customer, for a node that starts.
     pub fn funds(&self) -> Vec<Effect> {
-        let told = |(customer, account): (&Customer, &Account)| {
-            let (level, dry) = account.told?;
-            Some(Effect::Funds { customer: *customer, level, dry })
+        let funds = |(customer, account): (&Customer, &Account)| {
+            let (level, min_unmet) = account.reported_funds?;
+            Some(Effect::Funds { customer: *customer, level, min_unmet })
         };
-        self.accounts.iter().filter(|(_, account)| !account.closed).filter_map(told).collect()
+        self.accounts.iter().filter(|(_, account)| !account.closed).filter_map(funds).collect()
     }
 
-    /// The books as bytes.
+    /// Encodes the ledger.
     pub fn snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The books of a snapshot. None if it can't be read, or its sums are not right.
+    /// Restores the ledger from a snapshot. `None` if it is malformed or its sums are inconsistent.
     pub fn restore(bytes: &[u8]) -> Option<Ledger> {
         postcard::from_bytes::<Ledger>(bytes).ok().filter(Ledger::conserved)
     }
 
-    /// Whether no money was made or lost, for each customer.
+    /// Returns whether no units were created or lost, for each customer.
     pub fn conserved(&self) -> bool {
         let mut granted: BTreeMap<Customer, (Units, u64)> = BTreeMap::new();
         for open in self.open.values() {
@@ -188,103 +190,104 @@
         }) && granted.is_empty()
     }
 
-    /// The place of the log up to which it is.
+    /// Returns the log index of the last applied entry.
     pub fn applied(&self) -> u64 {
         self.applied
     }
 
-    /// The time that leaders entered; never ahead of real time by more than the drift of their clocks.
+    /// Returns the elapsed time as measured by the leaders; never ahead of real time by more than the drift
+    /// of their clocks.
     pub fn elapsed(&self) -> Micros {
         self.elapsed
     }
 
-    /// Ticks so far.
+    /// Returns the number of ticks so far.
     pub fn ticks(&self) -> u64 {
         self.ticks
     }
 
-    /// Entries that could not be read.
+    /// Returns the number of entries that could not be decoded.
     pub fn unreadable(&self) -> u64 {
         self.unreadable
     }
 
-    /// A customer's account.
+    /// Returns a customer's account.
     pub fn account(&self, customer: Customer) -> Option<&Account> {
         self.accounts.get(&customer)
     }
 
-    /// All grants that are not settled, by number.
-    pub fn open(&self) -> impl Iterator<Item = (u64, &Open)> {
+    /// Returns all grants that are not settled, ordered by number.
+    pub fn open(&self) -> impl Iterator<Item = (u64, &OpenGrant)> {
         self.open.iter().map(|(number, open)| (*number, open))
     }
 
-    fn order(&mut self, order: Command, touched: &mut BTreeSet<Customer>, effects: &mut Vec<Effect>) {
-        match order {
-            Command::Open { customer, low } => {
-                if self.accounts.len() < self.settings.most_customers || self.accounts.contains_key(&customer)
+    fn execute(&mut self, command: Command, touched: &mut BTreeSet<Customer>, effects: &mut Vec<Effect>) {
+        match command {
+            Command::OpenAccount { customer, low_threshold } => {
+                if self.accounts.len() < self.settings.max_customers || self.accounts.contains_key(&customer)
                 {
                     let account = self.accounts.entry(customer).or_default();
-                    // A customer that is still going away does not come back half.
+                    // A customer whose removal is not complete cannot be added again.
                     if !account.closed {
-                        account.low = low;
+                        account.low_threshold = low_threshold;
                         touched.insert(customer);
                     }
                 }
             }
-            Command::Close { customer } => {
+            Command::CloseAccount { customer } => {
                 if let Some(account) = self.accounts.get_mut(&customer) {
                     account.closed = true;
-                    effects.push(Effect::Closed { customer });
-                    self.sweep(customer);
+                    effects.push(Effect::AccountClosed { customer });
+                    self.remove_if_closed(customer);
                 }
             }
             Command::TopUp { order, customer, units } => {
-                let good = self.top_up(order, customer, units);
-                if good {
+                let booked = self.top_up(order, customer, units);
+                if booked {
                     touched.insert(customer);
                 }
-                let good = good || self.orders.contains(&order);
-                effects.push(Effect::ToppedUp { order, good });
+                let booked = booked || self.top_up_orders.contains(&order);
+                effects.push(Effect::ToppedUp { order, booked });
             }
-            Command::Ask { node, incarnation, ask, wants } => {
-                if self.hears(node, incarnation, |heard| &mut heard.ask, ask) {
-                    for want in wants {
-                        touched.insert(want.customer);
-                        self.grant(node, incarnation, ask, &want, effects);
+            Command::RequestGrants { node, incarnation, request, demands } => {
+                if self.is_new(node, incarnation, |seen| &mut seen.request, request) {
+                    for demand in demands {
+                        touched.insert(demand.customer);
+                        self.grant(node, incarnation, request, &demand, effects);
                     }
                 }
             }
             Command::Settle { grant, node, incarnation, spent, charges: _ } => {
-                let may = self.open.get(&grant).is_some_and(|open| {
-                    open.node == node && (open.incarnation == incarnation || open.lapsed)
+                let allowed = self.open.get(&grant).is_some_and(|open| {
+                    open.node == node && (open.incarnation == incarnation || open.expired)
                 });
-                if may {
+                if allowed {
                     touched.extend(self.settle(grant, spent));
                 }
                 if !self.open.contains_key(&grant) {
                     effects.push(Effect::Settled { grant });
                 }
             }
-            Command::GiveBack { grant, incarnation, part, total } => {
-                touched.extend(self.give_back(grant, incarnation, part, total));
+            Command::ReturnUnits { grant, incarnation, part, total } => {
+                touched.extend(self.return_units(grant, incarnation, part, total));
                 let known = self.open.get(&grant).map_or(part, |open| open.part);
                 effects.push(Effect::Returned { grant, part: known });
             }
             Command::Tick { after, by } => {
                 if after == self.ticks || is_planted!(TickTwice) {
                     self.ticks += 1;
-                    self.elapsed = self.elapsed.saturating_add(by.clamp(0, self.settings.most_tick));
-                    self.lapse(effects);
+                    self.elapsed = self.elapsed.saturating_add(by.clamp(0, self.settings.max_tick));
+                    self.expire_grants(effects);
                 }
             }
             Command::WriteOff { grant, spent } => {
-                if self.open.get(&grant).is_some_and(|open| open.lapsed || is_planted!(WriteOffEarly)) {
+                if self.open.get(&grant).is_some_and(|open| open.expired || is_planted!(WriteOffEarly)) {
                     touched.extend(self.settle(grant, spent));
                     effects.push(Effect::Settled { grant });
                 }
             }
-            Command::Overdrawn { node, incarnation, number, customer, spent, charges: _ } => {
-                if self.hears(node, incarnation, |heard| &mut heard.overdrawn, number) {
+            Command::RecordOverdraft { node, incarnation, number, customer, spent, charges: _ } => {
+                if self.is_new(node, incarnation, |seen| &mut seen.overdraft, number) {
                     if let Some(account) = self.accounts.get_mut(&customer) {
                         let paid = spent.min(account.free);
                         account.free -= paid;
@@ -293,31 +296,37 @@
                         touched.insert(customer);
                     }
                 }
-                effects.push(Effect::Booked { node, incarnation, number });
+                effects.push(Effect::OverdraftRecorded { node, incarnation, number });
             }
         }
     }
 
-    /// Whether a numbered word of a node's start is new. Words of a start before its last are old.
-    fn hears(&mut self, node: Node, incarnation: u64, mark: fn(&mut Heard) -> &mut u64, number: u64) -> bool {
-        if self.heard.len() >= MOST_NODES && !self.heard.contains_key(&node) {
+    /// Whether a number from a node's incarnation is new. Numbers of earlier incarnations are old.
+    fn is_new(
+        &mut self,
+        node: Node,
+        incarnation: u64,
+        highest: fn(&mut SeenNumbers) -> &mut u64,
+        number: u64,
+    ) -> bool {
+        if self.seen_numbers.len() >= MAX_NODES && !self.seen_numbers.contains_key(&node) {
             return false;
         }
-        let heard = self.heard.entry(node).or_default();
-        if incarnation < heard.incarnation {
+        let seen = self.seen_numbers.entry(node).or_default();
+        if incarnation < seen.incarnation {
             return false;
         }
-        if incarnation > heard.incarnation {
-            *heard = Heard { incarnation, ..Heard::default() };
+        if incarnation > seen.incarnation {
+            *seen = SeenNumbers { incarnation, ..SeenNumbers::default() };
         }
-        let mark = mark(heard);
-        let new = number > *mark;
-        *mark = number.max(*mark);
+        let highest = highest(seen);
+        let new = number > *highest;
+        *highest = number.max(*highest);
         new
     }
 
     fn top_up(&mut self, order: u64, customer: Customer, units: Units) -> bool {
-        if (order < self.oldest_order || self.orders.contains(&order)) && !is_planted!(TopUpTwice) {
+        if (order < self.oldest_order || self.top_up_orders.contains(&order)) && !is_planted!(TopUpTwice) {
             return false;
         }
         let Some(account) = self.accounts.get_mut(&customer).filter(|account| !account.closed) else {
@@ -328,37 +337,46 @@
         let paid = units.min(account.owed);
         account.owed -= paid;
         account.free += units - paid;
-        quench(account);
-        self.orders.insert(order);
-        while self.orders.len() > self.settings.most_orders {
-            if let Some(oldest) = self.orders.pop_first() {
+        clear_met_demand(account);
+        self.top_up_orders.insert(order);
+        while self.top_up_orders.len() > self.settings.max_remembered_orders {
+            if let Some(oldest) = self.top_up_orders.pop_first() {
                 self.oldest_order = oldest + 1;
             }
         }
         true
     }
 
-    /// What the node would spend in a few round trips, but never more than a share of what is free, which shrinks
-    /// as that falls and as more nodes hold money; at the end one call's worth.
-    fn grant(&mut self, node: Node, incarnation: u64, ask: u64, want: &Want, effects: &mut Vec<Effect>) {
-        let customer = want.customer;
-        let denied = Effect::Denied { node, incarnation, ask, customer };
+    /// Grants what the node expects to spend within a few round trips, but at most a share of the free units,
+    /// which shrinks as these decrease and as more nodes hold grants; when funds are almost used up, one
+    /// call's worth.
+    fn grant(
+        &mut self,
+        node: Node,
+        incarnation: u64,
+        request: u64,
+        demand: &Demand,
+        effects: &mut Vec<Effect>,
+    ) {
+        let customer = demand.customer;
+        let denied = Effect::Denied { node, incarnation, request, customer };
         let settings = self.settings;
         let Some(account) = self.accounts.get_mut(&customer) else {
             effects.push(denied);
             return;
         };
-        let least = want.least.max(1);
-        let share = account.free / settings.share.max(1).saturating_add(account.grants);
-        let units = want.units.min(share).max(least);
-        if units < want.units && account.called_back != self.ticks + 1 {
-            // Once a tick at most.
-            account.called_back = self.ticks + 1;
-            self.call_backs += 1;
-            effects.push(Effect::CallBack { number: self.call_backs, customer });
+        let min_units = demand.min_units.max(1);
+        let share = account.free / settings.free_divisor.max(1).saturating_add(account.grants);
+        let units = demand.units.min(share).max(min_units);
+        if units < demand.units && account.recalled_at_tick != self.ticks + 1 {
+            // At most once per tick.
+            account.recalled_at_tick = self.ticks + 1;
+            self.recalls += 1;
+            effects.push(Effect::Recall { number: self.recalls, customer });
         }
-        if account.closed || units > account.free || account.grants >= settings.most_grants {
-            account.dry = if account.dry == 0 { least } else { account.dry.min(least) };
+        if account.closed || units > account.free || account.grants >= settings.max_open_grants {
+            account.min_unmet =
+                if account.min_unmet == 0 { min_units } else { account.min_unmet.min(min_units) };
             effects.push(denied);
             return;
         }
@@ -367,83 +385,92 @@
         account.grants += 1;
         let grant = self.next_grant;
         self.next_grant += 1;
-        let lapses = self.elapsed.saturating_add(settings.validity).saturating_add(settings.drift);
-        let open = Open { node, incarnation, customer, units, lapsed: false, given_back: 0, part: 0, lapses };
+        let expires_at = self.elapsed.saturating_add(settings.validity).saturating_add(settings.drift);
+        let open = OpenGrant {
+            node,
+            incarnation,
+            customer,
+            units,
+            expired: false,
+            returned: 0,
+            part: 0,
+            expires_at,
+        };
         self.open.insert(grant, open);
-        self.lapses.insert((lapses, grant));
-        effects.push(Effect::Granted { node, incarnation, ask, grant, customer, units });
+        self.expirations.insert((expires_at, grant));
+        effects.push(Effect::Granted { node, incarnation, request, grant, customer, units });
     }
 
     fn settle(&mut self, grant: u64, spent: Units) -> Option<Customer> {
         let open = self.open.remove(&grant)?;
-        self.lapses.remove(&(open.lapses, grant));
+        self.expirations.remove(&(open.expires_at, grant));
         let account = self.accounts.get_mut(&open.customer)?;
         let spent = spent.min(open.units);
         account.granted -= open.units;
         account.grants -= 1;
         account.spent += spent;
-        pay_in(account, open.units - spent);
-        self.sweep(open.customer);
+        add_returned_units(account, open.units - spent);
+        self.remove_if_closed(open.customer);
         Some(open.customer)
     }
 
-    fn give_back(&mut self, grant: u64, incarnation: u64, part: u32, total: Units) -> Option<Customer> {
+    fn return_units(&mut self, grant: u64, incarnation: u64, part: u32, total: Units) -> Option<Customer> {
         let open =
             self.open.get_mut(&grant).filter(|open| open.incarnation == incarnation && part > open.part)?;
-        let units = total.saturating_sub(open.given_back).min(open.units);
+        let units = total.saturating_sub(open.returned).min(open.units);
         open.part = part;
-        open.given_back += units;
+        open.returned += units;
         open.units -= units;
         let account = self.accounts.get_mut(&open.customer)?;
         account.granted -= units;
-        pay_in(account, units);
+        add_returned_units(account, units);
         Some(open.customer)
     }
 
-    fn lapse(&mut self, effects: &mut Vec<Effect>) {
-        while let Some((_, grant)) = self.lapses.first().copied().filter(|(at, _)| *at <= self.elapsed) {
-            self.lapses.pop_first();
+    fn expire_grants(&mut self, effects: &mut Vec<Effect>) {
+        while let Some((_, grant)) = self.expirations.first().copied().filter(|(at, _)| *at <= self.elapsed) {
+            self.expirations.pop_first();
             if let Some(open) = self.open.get_mut(&grant) {
-                open.lapsed = true;
-                effects.push(Effect::Lapsed { grant, node: open.node });
+                open.expired = true;
+                effects.push(Effect::Expired { grant, node: open.node });
             }
         }
     }
 
-    /// A removed customer goes with its last grant.
-    fn sweep(&mut self, customer: Customer) {
+    /// Deletes a removed customer's account with its last grant.
+    fn remove_if_closed(&mut self, customer: Customer) {
         if self.accounts.get(&customer).is_some_and(|account| account.closed && account.grants == 0) {
             self.accounts.remove(&customer);
         }
     }
 
-    fn tell_funds(&mut self, customer: Customer, effects: &mut Vec<Effect>) {
+    fn report_funds(&mut self, customer: Customer, effects: &mut Vec<Effect>) {
         let account = self.accounts.get_mut(&customer).filter(|account| !account.closed);
         let Some(account) = account else { return };
-        let level = if account.free >= account.low {
+        let level = if account.free >= account.low_threshold {
             16
         } else {
-            u8::try_from(u128::from(account.free) * 16 / u128::from(account.low)).unwrap_or(16)
+            u8::try_from(u128::from(account.free) * 16 / u128::from(account.low_threshold)).unwrap_or(16)
         };
-        let now = Some((level, account.dry));
-        if account.told != now {
-            account.told = now;
-            effects.push(Effect::Funds { customer, level, dry: account.dry });
+        let funds = Some((level, account.min_unmet));
+        if account.reported_funds != funds {
+            account.reported_funds = funds;
+            effects.push(Effect::Funds { customer, level, min_unmet: account.min_unmet });
         }
     }
 }
 
-/// Units come back: debts are paid first.
-fn pay_in(account: &mut Account, units: Units) {
+/// Adds returned units: debts are paid first.
+fn add_returned_units(account: &mut Account, units: Units) {
     let paid = units.min(account.owed);
     account.owed -= paid;
     account.free += units - paid;
-    quench(account);
+    clear_met_demand(account);
 }
 
-/// With enough free, the wish that could not be met may be made again.
-fn quench(account: &mut Account) {
-    if account.free >= account.dry {
-        account.dry = 0;
+/// Clears the unmet demand once there are enough free units to request it again.
+fn clear_met_demand(account: &mut Account) {
+    if account.free >= account.min_unmet {
+        account.min_unmet = 0;
     }
 }
--- a/crates/lemoncleat-credit/src/lib.rs
+++ b/crates/lemoncleat-credit/src/lib.rs
@@ -1,15 +1,16 @@
-//! One prepaid balance for a whole fleet: ledger and grants, without I/O.
+//! Manages one prepaid balance for a whole fleet with a ledger and grants. The crate does no I/O.
 //!
-//! The [`Ledger`] is a state machine over the orders of an agreed log. It gives a node a **grant**: a number, units
-//! and a validity (RFC 8506, 8.16 and 8.33). The node's [`Holder`] spends its grants alone, asks for the next ahead of
-//! need, and settles each by an order that names what was spent for which calls. For each customer
-//! `funded + owed = free + granted + spent` holds after every order.
+//! The [`Ledger`] is a state machine over the commands of a replicated log. It gives a node a **grant**: a
+//! number, units and a validity (RFC 8506, 8.16 and 8.33). The node's [`Holder`] spends its grants without
+//! further coordination, requests the next one before it is needed, and settles each with a command that
+//! lists what was spent for which calls. For each customer `funded + owed = free + granted + spent` holds
+//! after every command.
 //!
-//! A holder counts a grant's validity from the moment it asked, less the drift allowed; the ledger counts from the
-//! order that gave it, plus the drift, and by no clock but the durations that leaders enter ([`Ticker`]). So a holder
-//! has stopped spending before the ledger lets anyone take the rest back.
+//! A holder counts a grant's validity from the time of its request, minus the allowed drift. The ledger
+//! counts from the command that gave the grant, plus the drift, and only by the durations that leaders enter
+//! ([`Ticker`]). So a holder has stopped spending before the ledger allows the rest to be written off.
 //!
-//! Moments are microseconds of a monotonic clock, money is a whole number of a smallest unit.
+//! Times are microseconds of a monotonic clock; amounts are whole numbers of a smallest unit.
 
 mod command;
 mod holder;
@@ -20,7 +21,7 @@
 mod purse;
 mod tariff;
 
-/// Whether a test planted the fault of a name in the code. Never, in the product.
+/// Whether a test planted the named fault; always false in the product.
 macro_rules! is_planted {
     ($name:ident) => {{
         #[cfg(feature = "faults")]
@@ -32,20 +33,22 @@
 }
 pub(crate) use is_planted;
 
-pub use command::{read, write, Charge, Command, Effect, Want, MOST_CHARGES, MOST_COMMANDS, MOST_ENTRY};
-pub use holder::{Away, Holder, HolderSettings, Input, Notice, Output, Why};
-pub use leader::{Joiner, Ticker};
-pub use ledger::{Account, Ledger, LedgerSettings, Open};
-pub use tariff::{Class, Customer, CustomerOf, Price, Tariff, TariffError};
+pub use command::{
+    decode, encode, Charge, Command, Demand, Effect, MAX_CHARGES, MAX_ENTRY_BYTES, MAX_ENTRY_COMMANDS,
+};
+pub use holder::{Holder, HolderSettings, Input, Notice, OfflinePolicy, Output, RefusalReason};
+pub use leader::{EntryBatcher, Ticker};
+pub use ledger::{Account, Ledger, LedgerSettings, OpenGrant};
+pub use tariff::{Class, Customer, CustomerKey, Price, Tariff, TariffError};
 
-/// Microseconds: a moment of a monotonic clock, or a span.
+/// A time on a monotonic clock or a duration, in microseconds.
 pub type Micros = i64;
 
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 
-/// A whole number of the smallest unit of money.
+/// An amount as a whole number of the smallest unit of money.
 pub type Units = u64;
 
-/// The number of a node, as the members' settings have it.
+/// The number of a node, as in the members' settings.
 pub type Node = u32;
--- a/crates/lemoncleat-credit/src/planted.rs
+++ b/crates/lemoncleat-credit/src/planted.rs
@@ -1,30 +1,30 @@
-//! Faults that a test plants in the code, to see that its checks find them.
+//! Faults that a test can plant in the code, to verify that its checks detect them.
 
 use std::cell::Cell;
 
 /// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Planted {
-    /// A holder spends its grants beyond their validity.
+    /// A holder spends grants after their validity has ended.
     IgnoreStop,
-    /// The ledger counts a top-up as often as it stands in the log.
+    /// The ledger counts a top-up each time it occurs in the log.
     TopUpTwice,
-    /// The ledger counts a span of time as often as it stands in the log.
+    /// The ledger counts a tick each time it occurs in the log.
     TickTwice,
-    /// The ledger lets a grant be written off before it ran out.
+    /// The ledger allows a grant to be written off before it has expired.
     WriteOffEarly,
-    /// A call that ends is charged all that was reserved for it.
+    /// A call that ends is charged everything that was reserved for it.
     KeepRest,
-    /// A repeated set-up reserves again.
+    /// A repeated set-up reserves units again.
     RepeatReserves,
-    /// A holder gives back what calls have reserved.
+    /// A holder returns units that are reserved for calls.
     ReturnReserved,
-    /// A standing call whose money is over goes on.
+    /// A standing call continues after its paid time.
     NeverEnd,
 }
 
 impl Planted {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Planted; 8] = [
         Planted::IgnoreStop,
         Planted::TopUpTwice,
@@ -38,14 +38,14 @@
 }
 
 thread_local! {
-    static NOW: Cell<Option<Planted>> = const { Cell::new(None) };
+    static PLANTED: Cell<Option<Planted>> = const { Cell::new(None) };
 }
 
-/// Plants a fault on this thread, or takes it out.
+/// Plants a fault on this thread, or removes it.
 pub fn plant(fault: Option<Planted>) {
-    NOW.set(fault);
+    PLANTED.set(fault);
 }
 
 pub(crate) fn is(fault: Planted) -> bool {
-    NOW.get() == Some(fault)
+    PLANTED.get() == Some(fault)
 }
--- a/crates/lemoncleat-credit/src/purse.rs
+++ b/crates/lemoncleat-credit/src/purse.rs
@@ -1,45 +1,54 @@
-//! What a node holds of one customer's money.
+//! The grants of one customer that a node holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{is_planted, Charge, Micros, Units, MOST_CHARGES, SECOND};
+use crate::{is_planted, Charge, Micros, Units, MAX_CHARGES, SECOND};
 
-/// Most grants held for one customer.
-pub(crate) const MOST_HELD: usize = 64;
+/// Maximum number of grants held for one customer.
+pub(crate) const MAX_HELD_GRANTS: usize = 64;
 
-/// A grant in hand.
+/// A grant held by this node.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct HeldGrant {
     pub units: Units,
     pub spent: Units,
     pub reserved: Units,
-    /// Given back so far, and in how many parts.
-    pub given: Units,
-    pub part: u32,
-    /// Nothing is spent of it from here on.
-    pub stop: Micros,
-    /// The node's own overdraft, not the ledger's grant.
-    pub own: bool,
+    /// Units returned so far, and the number of returns.
+    pub returned: Units,
+    pub returns: u32,
+    /// Time from which nothing more is spent from it.
+    pub valid_until: Micros,
+    /// Whether it is the node's own overdraft rather than a grant of the ledger.
+    pub is_overdraft: bool,
     charges: BTreeMap<u64, Units>,
 }
 
-impl Held {
-    pub fn new(units: Units, stop: Micros, own: bool) -> Held {
-        Held { units, spent: 0, reserved: 0, given: 0, part: 0, stop, own, charges: BTreeMap::new() }
+impl HeldGrant {
+    pub fn new(units: Units, valid_until: Micros, is_overdraft: bool) -> HeldGrant {
+        HeldGrant {
+            units,
+            spent: 0,
+            reserved: 0,
+            returned: 0,
+            returns: 0,
+            valid_until,
+            is_overdraft,
+            charges: BTreeMap::new(),
+        }
     }
 
-    /// What may still be reserved.
-    pub fn room(&self) -> Units {
-        let gone = self.spent.saturating_add(self.given);
+    /// Returns the units that can still be reserved.
+    pub fn available(&self) -> Units {
+        let used = self.spent.saturating_add(self.returned);
         let reserved = if is_planted!(ReturnReserved) { 0 } else { self.reserved };
-        self.units.saturating_sub(gone).saturating_sub(reserved)
+        self.units.saturating_sub(used).saturating_sub(reserved)
     }
 
-    /// Of what was reserved, so much is spent for the call and the rest is free again.
+    /// Charges `spent` of the reserved units to the call and releases the rest.
     pub fn charge(&mut self, call: u64, reserved: Units, spent: Units) {
         self.reserved = self.reserved.saturating_sub(reserved);
         self.spent = self.spent.saturating_add(spent);
-        if spent > 0 && (self.charges.len() < MOST_CHARGES || self.charges.contains_key(&call)) {
+        if spent > 0 && (self.charges.len() < MAX_CHARGES || self.charges.contains_key(&call)) {
             *self.charges.entry(call).or_default() += spent;
         }
     }
@@ -49,86 +58,86 @@
     }
 }
 
-/// All grants of one customer, and who waits for more.
+/// All grants of one customer, and the calls that wait for more.
 #[derive(Clone, Debug)]
-pub(crate) struct Purse {
-    pub held: BTreeMap<u64, Held>,
-    /// When the open wish was made.
-    pub asked: Option<Micros>,
-    /// Calls to be set up for which there is no money yet, in order, with what each needs.
+pub(crate) struct CustomerGrants {
+    pub held: BTreeMap<u64, HeldGrant>,
+    /// Time of the open request.
+    pub requested_at: Option<Micros>,
+    /// Calls to be set up for which no units are available yet, in order, with the units that each needs.
     pub waiting: BTreeMap<(Micros, u64), Units>,
-    /// Standing calls that need more, by when what they paid for is over.
-    pub starving: BTreeSet<(Micros, u64)>,
+    /// Standing calls that need more units, by the end of their paid time.
+    pub short_calls: BTreeSet<(Micros, u64)>,
     pub level: u8,
-    pub dry: Units,
+    pub min_unmet: Units,
     pub closed: bool,
-    /// The least that the open wish could use.
-    pub least: Units,
-    /// What the last call needed at its set-up.
-    pub usual: Units,
-    /// Units a second, of the last windows.
-    pub rate: Units,
-    window: Micros,
-    in_window: Units,
+    /// Minimum useful amount of the open request.
+    pub requested_min: Units,
+    /// Units that the last call needed at its set-up.
+    pub set_up_cost: Units,
+    /// Units spent per second, averaged over the last windows.
+    pub spending_rate: Units,
+    window_start: Micros,
+    spent_in_window: Units,
 }
 
-impl Default for Purse {
-    fn default() -> Purse {
-        Purse {
+impl Default for CustomerGrants {
+    fn default() -> CustomerGrants {
+        CustomerGrants {
             held: BTreeMap::new(),
-            asked: None,
+            requested_at: None,
             waiting: BTreeMap::new(),
-            starving: BTreeSet::new(),
+            short_calls: BTreeSet::new(),
             level: 16,
-            dry: 0,
+            min_unmet: 0,
             closed: false,
-            least: 0,
-            usual: 0,
-            rate: 0,
-            window: Micros::MIN,
-            in_window: 0,
+            requested_min: 0,
+            set_up_cost: 0,
+            spending_rate: 0,
+            window_start: Micros::MIN,
+            spent_in_window: 0,
         }
     }
 }
 
-impl Purse {
-    /// Reserves from the grant that ends first of those that last until `until`.
+impl CustomerGrants {
+    /// Reserves units from the grant that ends first among those valid until `until`.
     pub fn reserve(&mut self, units: Units, until: Micros) -> Option<u64> {
-        let stops = |held: &Held| held.stop >= until || is_planted!(IgnoreStop);
-        let fits = |(_, held): &(&u64, &mut Held)| stops(held) && held.room() >= units;
+        let is_valid = |held: &HeldGrant| held.valid_until >= until || is_planted!(IgnoreStop);
+        let fits = |(_, held): &(&u64, &mut HeldGrant)| is_valid(held) && held.available() >= units;
         let (grant, held) =
-            self.held.iter_mut().filter(fits).min_by_key(|(grant, held)| (held.stop, **grant))?;
+            self.held.iter_mut().filter(fits).min_by_key(|(grant, held)| (held.valid_until, **grant))?;
         held.reserved += units;
-        self.in_window = self.in_window.saturating_add(units);
+        self.spent_in_window = self.spent_in_window.saturating_add(units);
         Some(*grant)
     }
 
-    /// The most that one grant which lasts until `until` has.
-    pub fn most(&self, until: Micros) -> Units {
-        let lasts = |held: &&Held| held.stop >= until || is_planted!(IgnoreStop);
-        self.held.values().filter(lasts).map(Held::room).max().unwrap_or(0)
+    /// Returns the largest available amount in a single grant that is valid until `until`.
+    pub fn largest_available(&self, until: Micros) -> Units {
+        let is_valid = |held: &&HeldGrant| held.valid_until >= until || is_planted!(IgnoreStop);
+        self.held.values().filter(is_valid).map(HeldGrant::available).max().unwrap_or(0)
     }
 
-    /// What grants that last until `until` have.
-    pub fn room(&self, until: Micros) -> Units {
-        let lasting = self.held.values().filter(|held| held.stop >= until);
-        lasting.map(Held::room).fold(0, Units::saturating_add)
+    /// Returns the total available amount of the grants that are valid until `until`.
+    pub fn available(&self, until: Micros) -> Units {
+        let valid = self.held.values().filter(|held| held.valid_until >= until);
+        valid.map(HeldGrant::available).fold(0, Units::saturating_add)
     }
 
-    /// Keeps the rate of spending; says when it wants to be asked again.
-    pub fn roll(&mut self, now: Micros) -> Option<Micros> {
-        // A clock that was set back begins a window anew.
-        self.window = self.window.min(now);
-        if now >= self.window.saturating_add(SECOND) {
-            // After a gap the old rate says little.
-            self.rate = if now >= self.window.saturating_add(8 * SECOND) {
-                self.in_window
+    /// Updates the spending rate; returns the time of the next update.
+    pub fn update_rate(&mut self, now: Micros) -> Option<Micros> {
+        // If the clock was set back, the window starts again.
+        self.window_start = self.window_start.min(now);
+        if now >= self.window_start.saturating_add(SECOND) {
+            // After a gap the old rate is not representative.
+            self.spending_rate = if now >= self.window_start.saturating_add(8 * SECOND) {
+                self.spent_in_window
             } else {
-                (self.rate / 2).saturating_add(self.in_window.div_ceil(2))
+                (self.spending_rate / 2).saturating_add(self.spent_in_window.div_ceil(2))
             };
-            self.in_window = 0;
-            self.window = now;
+            self.spent_in_window = 0;
+            self.window_start = now;
         }
-        (self.rate > 0 || self.in_window > 0).then(|| self.window.saturating_add(SECOND))
+        (self.spending_rate > 0 || self.spent_in_window > 0).then(|| self.window_start.saturating_add(SECOND))
     }
 }
--- a/crates/lemoncleat-credit/src/tariff.rs
+++ b/crates/lemoncleat-credit/src/tariff.rs
@@ -1,4 +1,4 @@
-//! What calls cost, whose they are, and what spending is worth.
+//! The prices of calls, the mapping of calls to customers, and the cost of spending.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,119 +15,123 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Customer(pub u32);
 
-/// What a call of a class costs, and what it is worth.
+/// The price and worth of a call of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Price {
-    /// Units for the set-up, due when the call stands.
+    /// Units for the set-up, charged when the call is established.
     pub set_up: Units,
-    /// Units a second begun.
-    pub second: Units,
-    /// What a call is worth, in the measure of the routes' worth and cost.
+    /// Units per started second.
+    pub per_second: Units,
+    /// Worth of a call, on the scale of the routes' worth and cost.
     pub worth: f64,
-    /// Seconds that a call of the class lasts on the whole.
-    pub expected: u32,
+    /// Mean duration of a call of the class, in seconds.
+    pub expected_seconds: u32,
 }
 
 impl Price {
-    /// What so many seconds cost, without the set-up.
+    /// Returns the cost of a number of seconds, without the set-up.
     pub fn seconds(&self, seconds: u32) -> Units {
-        self.second.saturating_mul(Units::from(seconds))
+        self.per_second.saturating_mul(Units::from(seconds))
     }
 
-    /// What a call of so many seconds costs.
+    /// Returns the cost of a call of this many seconds.
     pub fn call(&self, seconds: u32) -> Units {
         self.set_up.saturating_add(self.seconds(seconds))
     }
 
     fn expected_cost(&self) -> f64 {
-        self.call(self.expected.max(1)) as f64
+        self.call(self.expected_seconds.max(1)) as f64
     }
 }
 
-/// How a customer is recognised.
+/// How a customer is identified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum CustomerOf {
-    /// By the client's Origin-Host, in any case of letters.
+pub enum CustomerKey {
+    /// By the client's Origin-Host, regardless of case.
     OriginHost(String),
-    /// By the first digits of the calling number; the longest that fits counts.
+    /// By the first digits of the calling number; the longest match applies.
     Prefix(String),
 }
 
-/// What is wrong with a tariff.
+/// An error in a tariff.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TariffError {
-    /// A worth is not a number, infinite, or below zero.
+    /// A worth is not finite, or is negative.
     Worth(Class),
-    /// A price is so high that an hour of it leaves the range of [`Units`].
-    TooDear(Class),
-    /// An origin host or prefix is empty, or a prefix holds something else than digits.
+    /// A price is above the limit that keeps sums within the range of [`Units`].
+    PriceTooHigh(Class),
+    /// An origin host or prefix is empty, or a prefix contains a character that is not a digit.
     Name(String),
-    /// Two customers by the same origin host or prefix.
-    Twice(String),
+    /// Two customers have the same origin host or prefix.
+    Duplicate(String),
 }
 
 impl fmt::Display for TariffError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TariffError::Worth(class) => {
-                write!(out, "class {}: its worth is no number from zero on", class.0)
+                write!(out, "class {}: worth must be a finite number not below zero", class.0)
             }
-            TariffError::TooDear(class) => {
-                write!(out, "class {}: its price is too high to be counted", class.0)
+            TariffError::PriceTooHigh(class) => {
+                write!(out, "class {}: price exceeds the maximum", class.0)
             }
-            TariffError::Name(name) => write!(out, "`{name}` is no origin host and no row of digits"),
-            TariffError::Twice(name) => write!(out, "`{name}` stands for two customers"),
+            TariffError::Name(name) => {
+                write!(out, "`{name}` is neither an origin host nor a prefix of digits")
+            }
+            TariffError::Duplicate(name) => write!(out, "`{name}` is assigned to two customers"),
         }
     }
 }
 
 impl std::error::Error for TariffError {}
 
-/// Prices by class, customers by name. Checked when it is made.
+/// Prices by class and customers by name. Validated on creation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Tariff {
     prices: BTreeMap<Class, Price>,
     hosts: BTreeMap<String, Customer>,
     prefixes: BTreeMap<String, Customer>,
-    longest: usize,
-    /// The most worth that a unit buys in any class.
-    best: f64,
+    longest_prefix: usize,
+    /// The highest worth per unit of any class.
+    best_worth_per_unit: f64,
 }
 
-/// No price reaches this, so that no sum of a call's seconds overflows.
-const DEAREST: Units = 1 << 40;
+/// Upper limit of prices, so that the sum of a call's seconds cannot overflow.
+const MAX_PRICE: Units = 1 << 40;
 
 impl Tariff {
-    /// A tariff of prices by class (a class that is not named, or costs nothing, is free) and of customers.
+    /// Creates a tariff of prices by class (a class that is not named, or costs nothing, is free) and of
+    /// customers.
     ///
     /// # Errors
     ///
-    /// On the first thing that is wrong, see [`TariffError`].
+    /// Returns the first error found, see [`TariffError`].
     pub fn new(
         prices: impl IntoIterator<Item = (Class, Price)>,
-        customers: impl IntoIterator<Item = (CustomerOf, Customer)>,
+        customers: impl IntoIterator<Item = (CustomerKey, Customer)>,
     ) -> Result<Tariff, TariffError> {
         let mut tariff = Tariff::default();
         for (class, price) in prices {
             if !price.worth.is_finite() || price.worth < 0.0 {
                 return Err(TariffError::Worth(class));
             }
-            if price.set_up > DEAREST || price.second > DEAREST {
-                return Err(TariffError::TooDear(class));
+            if price.set_up > MAX_PRICE || price.per_second > MAX_PRICE {
+                return Err(TariffError::PriceTooHigh(class));
             }
-            if price.set_up > 0 || price.second > 0 {
-                tariff.best = tariff.best.max(price.worth / price.expected_cost());
+            if price.set_up > 0 || price.per_second > 0 {
+                tariff.best_worth_per_unit =
+                    tariff.best_worth_per_unit.max(price.worth / price.expected_cost());
                 tariff.prices.insert(class, price);
             }
         }
-        for (of, customer) in customers {
-            let (name, map) = match of {
-                CustomerOf::OriginHost(host) => (host.to_ascii_lowercase(), &mut tariff.hosts),
-                CustomerOf::Prefix(prefix) => {
+        for (key, customer) in customers {
+            let (name, map) = match key {
+                CustomerKey::OriginHost(host) => (host.to_ascii_lowercase(), &mut tariff.hosts),
+                CustomerKey::Prefix(prefix) => {
                     if !prefix.bytes().all(|byte| byte.is_ascii_digit()) {
                         return Err(TariffError::Name(prefix));
                     }
-                    tariff.longest = tariff.longest.max(prefix.len());
+                    tariff.longest_prefix = tariff.longest_prefix.max(prefix.len());
                     (prefix, &mut tariff.prefixes)
                 }
             };
@@ -135,50 +139,57 @@
                 return Err(TariffError::Name(name));
             }
             if map.insert(name.clone(), customer).is_some() {
-                return Err(TariffError::Twice(name));
+                return Err(TariffError::Duplicate(name));
             }
         }
         Ok(tariff)
     }
 
-    /// What a class costs; none if it is free.
+    /// Returns the price of a class; `None` if it is free.
     pub fn price(&self, class: Class) -> Option<Price> {
         self.prices.get(&class).copied()
     }
 
-    /// The customer of a call: by the client's Origin-Host, or else by the longest prefix of the calling number.
-    /// None: the call is not prepaid.
+    /// Returns the customer of a call: by the client's Origin-Host, or else by the longest prefix of the
+    /// calling number. `None` if the call is not prepaid.
     pub fn customer(&self, origin_host: &str, calling: &str) -> Option<Customer> {
         if let Some(customer) = self.hosts.get(&origin_host.to_ascii_lowercase()) {
             return Some(*customer);
         }
         let digits = calling.strip_prefix('+').unwrap_or(calling);
-        (1..=self.longest.min(digits.len())).rev().find_map(|n| self.prefixes.get(digits.get(..n)?)).copied()
+        (1..=self.longest_prefix.min(digits.len()))
+            .rev()
+            .find_map(|n| self.prefixes.get(digits.get(..n)?))
+            .copied()
     }
 
-    /// What spending on a call of the class costs in worth, with `level` sixteenths left of the funds from which
-    /// on they count as short.
+    /// Returns the cost, in worth, of spending units on a call of the class, with `level` sixteenths left of
+    /// the low-funds threshold.
     ///
-    /// Money that runs out is money that a later call can't spend. Its price is what the best use of it would earn:
-    /// the most worth a unit buys in any class, times the share of the low funds that is gone. With all there, it
-    /// costs nothing; with almost none, only the calls that earn most with each unit are still worth more than
-    /// they take from others. A tariff of one class is never gated before zero.
-    pub fn spending(&self, class: Class, level: u8) -> f64 {
+    /// Units that are spent are not available to a later call. Their price is what the best use of them would
+    /// earn: the highest worth per unit of any class, times the missing share of the low-funds threshold.
+    /// With no share missing the price is zero; with almost no funds left, only the calls that earn most per
+    /// unit are worth more than they displace. A tariff with one class never refuses calls before the funds
+    /// are used up.
+    pub fn spending_price(&self, class: Class, level: u8) -> f64 {
         let Some(price) = self.prices.get(&class) else { return 0.0 };
-        let gone = f64::from(16 - level.min(16)) / 16.0;
-        // A hair less than the best, so that the best class lives to the end.
-        self.best * price.expected_cost() * gone * 0.999
+        let missing = f64::from(16 - level.min(16)) / 16.0;
+        // Slightly below the best, so that the best class is admitted until the end.
+        self.best_worth_per_unit * price.expected_cost() * missing * 0.999
     }
 
-    /// Whether a call is worth its money: its worth less [`spending`](Tariff::spending) is above zero. A class
-    /// without worth is only let through while funds are not short.
-    pub fn worth_it(&self, class: Class, level: u8) -> bool {
-        self.prices.get(&class).is_none_or(|price| level >= 16 || price.worth > self.spending(class, level))
+    /// Returns whether a call is worth its cost: its worth minus [`spending_price`](Tariff::spending_price)
+    /// is positive. A class without worth is only admitted while funds are not low.
+    pub fn is_worth_spending(&self, class: Class, level: u8) -> bool {
+        self.prices
+            .get(&class)
+            .is_none_or(|price| level >= 16 || price.worth > self.spending_price(class, level))
     }
 }
 
-/// Seconds begun in a span: one at least, and none more at the very end of one.
-pub(crate) fn begun(span: Micros) -> u32 {
-    let whole = span.max(1).saturating_add(SECOND - 1) / SECOND;
-    u32::try_from(whole).unwrap_or(u32::MAX)
+/// Returns the number of started seconds in a span: at least one, and no further one exactly at the end of a
+/// second.
+pub(crate) fn started_seconds(span: Micros) -> u32 {
+    let seconds = span.max(1).saturating_add(SECOND - 1) / SECOND;
+    u32::try_from(seconds).unwrap_or(u32::MAX)
 }
