--- a/crates/lemoncleat-faults/src/lib.rs
+++ b/crates/lemoncleat-faults/src/lib.rs
@@ -1,9 +1,9 @@
 //! Numbered points at which a process can be made to fail.
 //!
-//! Every place where a process writes to disk, sends to or acts on a word of another, changes its view of the
-//! fleet, or answers on the strength of it, has a number and a name in one [table](POINTS). A test takes the
-//! table and makes each point fail in turn, as SQLite's published anomaly tests do, so that a new point is
-//! tested from the day it stands there.
+//! Every place where a process writes to disk, sends or processes a message of another, changes its view of
+//! the fleet, or answers on the basis of it, has a number and a name in one [table](POINTS). Tests iterate
+//! over the table and make each point fail in turn, as SQLite's published anomaly tests do, so that a new
+//! point is tested as soon as it is added.
 //!
 //! ```
 //! use lemoncleat_faults::{fails, point};
@@ -11,16 +11,16 @@
 //! fn write(bytes: &[u8]) -> std::io::Result<()> {
 //!     point!(STORE_WRITE);
 //!     if fails!(STORE_WRITE) {
-//!         return Err(std::io::Error::other("a fault put here by a test"));
+//!         return Err(std::io::Error::other("fault injected by a test"));
 //!     }
 //!     Ok(())
 //! }
 //! write(b"1").unwrap();
 //! ```
 //!
-//! Without the feature `on` both are nothing, and nothing of this package is in the binary. With it there are two
-//! hosts: `scene` for cores that one thread plays under a virtual clock, and `attend` for real processes,
-//! which a stage holds at a point while it kills them, pauses them or cuts their links.
+//! Without the feature `on` both macros expand to nothing, and no code of this package is in the binary. With
+//! it there are two hosts: `scene` for cores that one thread runs under a virtual clock, and `attend` for
+//! real processes, which a test stage holds at a point while it kills them, pauses them or cuts their links.
 
 #[cfg(feature = "on")]
 mod reached;
@@ -36,29 +36,29 @@
 pub use stage::{attend, STAGE_VARIABLE};
 pub use table::*;
 
-/// What can be done to a process at a point.
+/// A fault that can be injected into a process at a point.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// It ends there and then, with whatever was not yet safe lost.
+    /// The process ends immediately and loses everything that is not yet durable.
     Kill,
-    /// The operation fails as its disk or socket would.
+    /// The operation fails as if its disk or socket had failed.
     Error,
-    /// It gets no turn for longer than every time-out.
+    /// The process is not scheduled for longer than every time-out.
     Pause,
-    /// Its links to the others carry nothing, in both directions.
+    /// Its links to the other processes are interrupted in both directions.
     Cut,
-    /// Nothing that it sends arrives.
+    /// Messages that it sends are lost.
     CutOut,
-    /// Nothing arrives that is sent to it.
+    /// Messages that are sent to it are lost.
     CutIn,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Fault; 6] =
         [Fault::Kill, Fault::Error, Fault::Pause, Fault::Cut, Fault::CutOut, Fault::CutIn];
 
-    /// Its name, as in orders and tables.
+    /// Returns its name, as used in commands and tables.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Kill => "kill",
@@ -70,33 +70,33 @@
         }
     }
 
-    /// The fault of a name.
+    /// Returns the fault with this name.
     pub fn of_name(name: &str) -> Option<Fault> {
         Fault::ALL.into_iter().find(|fault| fault.name() == name)
     }
 }
 
-/// A place that can be made to fail.
+/// A numbered place in the code at which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Point {
-    /// Its number. Never given to another point.
+    /// Its number, which is never reused.
     pub number: u16,
-    /// Its name, as the code has it.
+    /// Its name in the code.
     pub name: &'static str,
-    /// The package that it stands in, without `lemoncleat-`.
+    /// The package that contains it, without `lemoncleat-`.
     pub package: &'static str,
-    /// What the process is about to do there.
+    /// The operation that the process is about to perform there.
     pub what: &'static str,
-    /// What may be done to it there.
+    /// The faults that can be injected there.
     pub faults: &'static [Fault],
 }
 
-/// The point of a name.
+/// Returns the point with this name.
 pub fn find(name: &str) -> Option<&'static Point> {
     POINTS.iter().copied().find(|point| point.name == name)
 }
 
-/// A numbered point, by its name in the [table](POINTS): here a test may hold or end the process.
+/// Marks a numbered point by its name in the [table](POINTS); a test can hold or end the process here.
 #[cfg(feature = "on")]
 #[macro_export]
 macro_rules! point {
@@ -105,7 +105,7 @@
     };
 }
 
-/// A numbered point, by its name in the [table](POINTS): here a test may hold or end the process.
+/// Marks a numbered point by its name in the [table](POINTS); a test can hold or end the process here.
 #[cfg(not(feature = "on"))]
 #[macro_export]
 macro_rules! point {
@@ -114,7 +114,8 @@
     };
 }
 
-/// Whether the operation at the point that was just passed is to fail as its disk or socket would.
+/// Returns whether the operation at the point that was just passed must fail as if its disk or socket had
+/// failed.
 #[cfg(feature = "on")]
 #[macro_export]
 macro_rules! fails {
@@ -123,7 +124,8 @@
     };
 }
 
-/// Whether the operation at the point that was just passed is to fail as its disk or socket would.
+/// Returns whether the operation at the point that was just passed must fail as if its disk or socket had
+/// failed.
 #[cfg(not(feature = "on"))]
 #[macro_export]
 macro_rules! fails {
--- a/crates/lemoncleat-faults/src/reached.rs
+++ b/crates/lemoncleat-faults/src/reached.rs
@@ -1,4 +1,4 @@
-//! What happens where a point is passed.
+//! The functions called when a point is passed.
 
 use std::cell::Cell;
 
@@ -9,17 +9,17 @@
     static FAILING: Cell<Option<u16>> = const { Cell::new(None) };
 }
 
-/// Called by [`point!`](crate::point): carries out what a test has set for the point.
+/// Called by [`point!`](crate::point): applies the fault that a test has armed for the point.
 pub fn reach(point: &'static Point) {
     let fault = match scene::pass(point) {
-        scene::Pass::NoScene => stage::pass(point),
-        scene::Pass::Nothing => None,
-        scene::Pass::Do(fault) => Some(fault),
+        scene::PassResult::Inactive => stage::pass(point),
+        scene::PassResult::NoFault => None,
+        scene::PassResult::Inject(fault) => Some(fault),
     };
     FAILING.set((fault == Some(Fault::Error)).then_some(point.number));
 }
 
-/// Called by [`fails!`](crate::fails): once true after the point was passed with [`Fault::Error`].
+/// Called by [`fails!`](crate::fails): returns true once after the point was passed with [`Fault::Error`].
 pub fn failing(point: &'static Point) -> bool {
     let failing = FAILING.get() == Some(point.number);
     if failing {
