--- a/crates/lemoncleat-consistency/src/checker.rs
+++ b/crates/lemoncleat-consistency/src/checker.rs
@@ -44,8 +44,8 @@
 }
 
 impl Default for Limits {
-    /// No fencing, a tenth of the fleet, statements valid for 30 s and published every 10 s, windows of 4
-    /// MiB.
+    /// No fencing, a tenth of the fleet, statements valid for 30 s and published every 10 s, windows of
+    /// 4 MiB.
     fn default() -> Self {
         Limits {
             fences: false,
@@ -145,7 +145,7 @@
     Versions {
         /// Number of versions.
         count: usize,
-        /// Time since when, in microseconds.
+        /// Time for which it has run several, in microseconds.
         held: Micros,
     },
     /// The fleet runs a single version again.
--- a/crates/lemoncleat-consistency/tests/planted.rs
+++ b/crates/lemoncleat-consistency/tests/planted.rs
@@ -199,7 +199,7 @@
         let half = found(&mut fleet, 30 * SECOND, &|_, notice| matches!(notice, Notice::OwnWindow { .. }));
         println!(
             "{nodes} nodes: constant detected {:.1} s, fenced {:.1} s; hashing {:.1} s; bit {:.1} s; \
-             partial reload {:.1} s; {rate:.0} B/s sent a node (facts to the carrier, windows)",
+             partial reload {:.1} s; {rate:.0} B/s sent a node (published facts and windows)",
             constant.0, fenced.0, hashed.0, flip.0, half.0
         );
     }
--- a/crates/lemoncleat-zones/tests/bed/mod.rs
+++ b/crates/lemoncleat-zones/tests/bed/mod.rs
@@ -647,7 +647,7 @@
             if rate > capacity * 1.15 + 2.0 {
                 let number = self.result.steps.len();
                 self.result.violations.push(format!(
-                    "step {number}: {rate:.0} to a zone that capacity {capacity:.0}, {entry:?}"
+                    "step {number}: {rate:.0} calls/s to a zone that can take {capacity:.0}, {entry:?}"
                 ));
             }
             let full = self.result.full_since.entry(zone).or_default();
--- a/crates/lemoncleat-zones/tests/explored.rs
+++ b/crates/lemoncleat-zones/tests/explored.rs
@@ -77,10 +77,10 @@
             match output {
                 Output::Publish(bytes) => self.facts[node] = (self.now, bytes),
                 Output::Propose(step) => {
-                    let received_at = |other: usize| {
+                    let received_recently = |other: usize| {
                         self.received_at.get(&(other, node)).is_some_and(|at| self.now - at <= 3 * S)
                     };
-                    if (0..3).filter(|other| *other == node || received_at(*other)).count() < 2 {
+                    if (0..3).filter(|other| *other == node || received_recently(*other)).count() < 2 {
                         return Err(format!("node {node} alone proposed {step:?}"));
                     }
                     self.log.push(step);
