--- a/crates/lemoncleat-lab/src/scale/figures.rs
+++ b/crates/lemoncleat-lab/src/scale/figures.rs
@@ -1,4 +1,4 @@
-//! Samples of a second each, and how they are spread.
+//! Samples taken about once a second, and their distribution over windows.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use super::report::{Distribution, RoleFigures};
 use crate::Micros;
 
-/// What a node had taken and sent at a moment.
+/// Cumulative resource use of a node at a point in time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Sample {
     pub(super) at: Micros,
@@ -16,7 +16,7 @@
     pub(super) memory_bytes: u64,
 }
 
-/// What nodes of one role took in windows of about a second.
+/// Resource use of the nodes of one role, in windows of about a second.
 #[derive(Debug, Default)]
 pub(super) struct Windows {
     last: BTreeMap<usize, Sample>,
@@ -29,38 +29,38 @@
 }
 
 impl Windows {
-    /// Takes what a node had at a moment; what it took since the last time is a window, if it is the same
-    /// process.
-    pub(super) fn take(&mut self, node: usize, sample: Sample) {
+    /// Adds a sample of a node. The difference from the node's previous sample is one window, unless the node
+    /// was restarted in between.
+    pub(super) fn add(&mut self, node: usize, sample: Sample) {
         let last = self.last.insert(node, sample);
         self.memory.push(sample.memory_bytes as f64);
         let Some(last) = last.filter(|last| last.start == sample.start && last.at < sample.at) else {
             return;
         };
         let seconds = (sample.at - last.at) as f64 / 1e6;
-        let each = |now: u64, before: u64| now.saturating_sub(before) as f64 / seconds;
+        let per_second = |now: u64, before: u64| now.saturating_sub(before) as f64 / seconds;
         if let (Some(now), Some(before)) = (sample.processor_us, last.processor_us) {
-            self.processor.push(each(now, before));
+            self.processor.push(per_second(now, before));
         }
         if let (Some(now), Some(before)) = (sample.traffic, last.traffic) {
-            self.sent.push(each(now.sent, before.sent));
-            self.sent_bytes.push(each(now.sent_bytes, before.sent_bytes));
-            self.received.push(each(now.received, before.received));
-            self.received_bytes.push(each(now.received_bytes, before.received_bytes));
+            self.sent.push(per_second(now.sent, before.sent));
+            self.sent_bytes.push(per_second(now.sent_bytes, before.sent_bytes));
+            self.received.push(per_second(now.received, before.received));
+            self.received_bytes.push(per_second(now.received_bytes, before.received_bytes));
         }
     }
 
-    /// What there was since the last time that this was asked.
-    pub(super) fn end(&mut self) -> RoleFigures {
-        let spread = |of: &mut Vec<f64>| Distribution::of(std::mem::take(of));
+    /// Returns the distributions of all windows since the previous call and clears them.
+    pub(super) fn drain(&mut self) -> RoleFigures {
+        let distribution = |of: &mut Vec<f64>| Distribution::of(std::mem::take(of));
         RoleFigures {
             windows: self.memory.len(),
-            bytes_sent: spread(&mut self.sent_bytes),
-            bytes_received: spread(&mut self.received_bytes),
-            messages_sent: spread(&mut self.sent),
-            messages_received: spread(&mut self.received),
-            processor_us: spread(&mut self.processor),
-            memory_bytes: spread(&mut self.memory),
+            bytes_sent: distribution(&mut self.sent_bytes),
+            bytes_received: distribution(&mut self.received_bytes),
+            messages_sent: distribution(&mut self.sent),
+            messages_received: distribution(&mut self.received),
+            processor_us: distribution(&mut self.processor),
+            memory_bytes: distribution(&mut self.memory),
         }
     }
 }
@@ -70,18 +70,18 @@
     use super::*;
 
     #[test]
-    fn a_window_is_what_one_process_took_and_a_restart_begins_anew() {
+    fn window_covers_one_process_and_restart_starts_a_new_one() {
         let mut windows = Windows::default();
         let sample = |at, start, us| Sample { at, start, processor_us: Some(us), ..Sample::default() };
-        windows.take(1, sample(1_000_000, 1, 500));
-        windows.take(1, sample(3_000_000, 1, 900));
-        windows.take(1, sample(4_000_000, 2, 100));
-        windows.take(1, sample(5_000_000, 2, 160));
-        let told = windows.end();
+        windows.add(1, sample(1_000_000, 1, 500));
+        windows.add(1, sample(3_000_000, 1, 900));
+        windows.add(1, sample(4_000_000, 2, 100));
+        windows.add(1, sample(5_000_000, 2, 160));
+        let told = windows.drain();
         let processor = told.processor_us.expect("windows");
         assert_eq!((processor.least, processor.most), (60.0, 200.0));
         assert_eq!((told.windows, told.messages_sent.is_none()), (4, true));
-        windows.take(1, sample(6_000_000, 2, 170));
-        assert_eq!(windows.end().processor_us.expect("a window").most, 10.0);
+        windows.add(1, sample(6_000_000, 2, 170));
+        assert_eq!(windows.drain().processor_us.expect("a window").most, 10.0);
     }
 }
--- a/crates/lemoncleat-lab/src/scale/host.rs
+++ b/crates/lemoncleat-lab/src/scale/host.rs
@@ -1,4 +1,4 @@
-//! What is said between the rehearsal and the processes that hold hollow nodes.
+//! Messages between the rehearsal and the processes that run hollow nodes.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -11,95 +11,96 @@
 use crate::stage::Process;
 use crate::Micros;
 
-/// The nodes that a process holds; its first order.
+/// The nodes that a process runs; the first line it receives.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowPlan {
     /// The nodes.
     pub nodes: Vec<HollowNode>,
-    /// The end of the settings of each: what is the same for all of them.
+    /// End of the settings of every node, the same for all of them.
     pub tail: String,
 }
 
-/// A hollow node.
+/// One hollow node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HollowNode {
-    /// Its Origin-Host.
+    /// Origin-Host of the node.
     pub host: String,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Seed of its random choices.
+    /// Seed of the node's random choices.
     pub seed: u64,
-    /// The beginning of its settings.
+    /// Beginning of the node's settings.
     pub head: String,
 }
 
-/// An order to such a process, after its plan.
+/// An order to a process with hollow nodes, after its [`HollowPlan`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "kebab-case")]
 pub enum Order {
     /// Start all nodes.
     Start,
-    /// Stop a node in order, and start it again.
+    /// Stop a node gracefully and start it again.
     Restart {
-        /// Its place in the plan.
+        /// Index of the node in the plan.
         node: usize,
     },
-    /// What each node holds of the others.
+    /// Report each node's view of the other members.
     Views,
-    /// What each node has taken and sent.
+    /// Report each node's resource use.
     Figures,
-    /// All configurations that each node has put in force.
+    /// Report all configurations that each node has put in force.
     Configurations,
-    /// Give an order to a node's control port.
+    /// Forward an order to a node's control port.
     Ask {
-        /// Its place in the plan.
+        /// Index of the node in the plan.
         node: usize,
-        /// The order.
+        /// Order to forward.
         order: Value,
     },
 }
 
-/// What it answers.
+/// Answer to an [`Order`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Answer {
-    /// Why it could not be done.
+    /// Reason why the order failed.
     pub error: Option<String>,
-    /// To [`Order::Views`], in the plan's order.
+    /// Answer to [`Order::Views`], in the order of the plan.
     pub views: Vec<NodeView>,
-    /// To [`Order::Figures`], in the plan's order.
+    /// Answer to [`Order::Figures`], in the order of the plan.
     pub figures: Vec<NodeFigures>,
-    /// To [`Order::Configurations`], in the plan's order: number and moment, oldest first.
+    /// Answer to [`Order::Configurations`], in the order of the plan: number and time of each configuration,
+    /// oldest first.
     pub configurations: Vec<Vec<(u64, Micros)>>,
-    /// Memory of the process in use, in bytes.
+    /// Resident memory of the process in bytes.
     pub memory_bytes: u64,
-    /// Processor time of threads that serve all nodes of the process, in microseconds.
+    /// Processor time of the threads shared by all nodes of the process, in microseconds.
     pub shared_us: u64,
-    /// To [`Order::Ask`].
+    /// Answer to [`Order::Ask`].
     pub told: Value,
 }
 
-/// What a node holds of the others, as its own log told.
+/// A node's view of the other members, taken from its log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeView {
-    /// Members that it holds for alive, itself not counted.
+    /// Number of members that the node considers alive, without itself.
     pub alive: u32,
-    /// All of their names: the sum of [`mark_of`] each.
+    /// Wrapping sum of [`mark_of`] over the names of these members.
     pub marks: u64,
-    /// When that changed last, in microseconds since the epoch.
+    /// Time of the last change of the view, in microseconds since the epoch.
     pub changed: Micros,
-    /// The number of the configuration in force, 0 for none.
+    /// Number of the configuration in force, 0 for none.
     pub configuration: u64,
 }
 
-/// What a node has taken and sent since its start.
+/// Resource use of a node since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeFigures {
-    /// Grows with each start.
+    /// Number of the start; it increases with each restart.
     pub start: u32,
-    /// Processor time of its own thread, in microseconds.
+    /// Processor time of the node's own thread, in microseconds.
     pub processor_us: u64,
-    /// Its control messages; none when it did not answer.
+    /// Control messages of the node; `None` if it did not answer.
     pub traffic: Option<Traffic>,
 }
 
@@ -108,17 +109,17 @@
 pub struct Traffic {
     /// Messages sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent.
     pub sent_bytes: u64,
     /// Messages received.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the messages received.
     pub received_bytes: u64,
 }
 
 impl Traffic {
-    /// Out of an answer of a node's control port to `spent`.
-    pub fn of_spent(answer: &Value) -> Option<Traffic> {
+    /// Reads the figures from the answer of a node's control port to `spent`.
+    pub fn from_spent(answer: &Value) -> Option<Traffic> {
         let figure = |name: &str| answer[name].as_u64();
         Some(Traffic {
             sent: figure("control_sent_messages")?,
@@ -129,17 +130,17 @@
     }
 }
 
-/// A number for a name; sums of them tell sets of names apart.
+/// Returns a hash of a name. Wrapping sums of these hashes distinguish sets of names.
 pub fn mark_of(name: &str) -> u64 {
     let mut hasher = DefaultHasher::new();
     name.hash(&mut hasher);
     hasher.finish()
 }
 
-/// A process that holds hollow nodes.
+/// A process that runs hollow nodes.
 pub(super) struct Host {
     pub(super) process: Process,
-    /// Its nodes, by their place in the fleet.
+    /// Indexes of its nodes in the layout.
     pub(super) nodes: Vec<usize>,
     pub(super) zone: usize,
     pub(super) state: HostState,
@@ -154,11 +155,11 @@
 }
 
 impl Host {
-    pub(super) fn say(&mut self, order: &Order) -> io::Result<()> {
+    pub(super) fn send(&mut self, order: &Order) -> io::Result<()> {
         self.process.say(&serde_json::to_string(order)?)
     }
 
-    pub(super) fn hear(&mut self) -> io::Result<Answer> {
+    pub(super) fn receive(&mut self) -> io::Result<Answer> {
         let line = self.process.hear()?;
         let answer: Answer = serde_json::from_str(&line)
             .map_err(|error| io::Error::other(format!("{}: {error}: {line}", self.process.name())))?;
@@ -168,9 +169,9 @@
         }
     }
 
-    pub(super) fn give_plan(&mut self) -> io::Result<()> {
+    pub(super) fn send_plan(&mut self) -> io::Result<()> {
         let plan = serde_json::to_string(&self.plan)?;
         self.process.say(&plan)?;
-        self.hear().map(drop)
+        self.receive().map(drop)
     }
 }
--- a/crates/lemoncleat-lab/src/scale/mod.rs
+++ b/crates/lemoncleat-lab/src/scale/mod.rs
@@ -1,12 +1,10 @@
-//! A rehearsal of a large fleet: a few real processes with real calls beside many *hollow* nodes, which run
-//! the
-//! whole product over real sockets, many to a process, and get no calls.
+//! Rehearsal of a large fleet: a few nodes in processes of their own that carry real calls, beside many
+//! *hollow* nodes, which run the complete product over real sockets, many to a process, but receive no calls.
 //!
-//! Hollow nodes are held by the command `lemoncleat hollow`, one process a rack, which takes orders on its
-//! standard
-//! input ([`Order`]) and answers each with one line. Links between regions pass the stage's relay, so that a
-//! region
-//! can be cut off. What is measured is set against [`Budget`]s; what must hold is a [`Check`].
+//! Hollow nodes are run by the command `lemoncleat hollow`, one process per rack. It takes orders on its
+//! standard input ([`Order`]) and answers each with one line. Links between regions go through the relay of
+//! [`stage`](crate::stage), so that a region can be cut off. Measurements are compared with [`Budget`]s; each
+//! invariant is a [`Check`].
 
 mod figures;
 mod host;
@@ -29,38 +27,38 @@
 
 use crate::Micros;
 
-/// Most members of a fleet.
+/// Maximum number of nodes in a rehearsal.
 pub const MOST_NODES: usize = 1_024;
-/// Fewest: below this zones would be empty.
+/// Minimum number of nodes; with fewer, some zones would be empty.
 pub const LEAST_NODES: usize = 24;
 
-/// What is rehearsed.
+/// Parameters of a rehearsal.
 #[derive(Clone, Debug)]
 pub struct ScalePlan {
-    /// The binary of the product.
+    /// Path of the product's binary.
     pub binary: PathBuf,
-    /// Nodes of the fleet, all together, 24 to 1,024.
+    /// Total number of nodes in the fleet, 24 to 1,024.
     pub nodes: usize,
-    /// Those of them that are processes of their own with calls.
+    /// Number of nodes that run in processes of their own and carry calls.
     pub real: usize,
-    /// Those of them that agree for all, 3 or 5, processes of their own with stores.
+    /// Number of voters, 3 or 5; each runs in a process of its own and has a store.
     pub voters: usize,
-    /// Seed of stand-ins, nodes and choices.
+    /// Seed of the stand-in servers, the nodes and the random choices of the run.
     pub seed: u64,
-    /// A folder that is made for it, and removed if all goes well.
+    /// Folder created for the run; it is removed if all rules and invariants hold.
     pub folder: PathBuf,
-    /// How often a node looks after others, in microseconds.
+    /// Interval of a node's membership round, in microseconds.
     pub round: Micros,
-    /// How long the fleet is measured at rest.
+    /// Length of the phase in which the fleet is measured at rest.
     pub rest: Duration,
-    /// Hollow nodes that are restarted one by one.
+    /// Number of hollow nodes restarted one by one.
     pub restarts: usize,
-    /// Changes of configuration; 0 where the program has none.
+    /// Number of configuration changes; 0 for a program without shared configuration.
     pub changes: usize,
-    /// Calls a second through all real nodes together.
+    /// Calls per second through all real nodes together.
     pub rate: f64,
-    /// How long anything may take before it counts as never coming.
+    /// Time after which an awaited state counts as never reached.
     pub patience: Duration,
-    /// Ends the run before its time.
+    /// Set to end the run early.
     pub stop: Arc<AtomicBool>,
 }
--- a/crates/lemoncleat-lab/src/scale/proc.rs
+++ b/crates/lemoncleat-lab/src/scale/proc.rs
@@ -1,4 +1,4 @@
-//! What the system tells of processes and threads.
+//! Clock, processor time and memory of processes and threads, as reported by the operating system.
 
 use std::fs;
 use std::io;
@@ -6,38 +6,38 @@
 
 use crate::Micros;
 
-/// Microseconds since the epoch: the one clock that all processes of a rehearsal share.
+/// Returns microseconds since the Unix epoch, the clock shared by all processes of a rehearsal.
 pub fn now_us() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros
 }
 
-/// Bytes of a page of memory.
+/// Returns the size of a memory page in bytes.
 pub fn page_size() -> u64 {
     rustix::param::page_size() as u64
 }
 
-/// A thread and the processor time that it took.
+/// A thread and the processor time it has used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ThreadTime {
-    /// Its number; that of the first is the process's.
+    /// Thread id; that of the main thread equals the process id.
     pub id: u32,
-    /// Its name, at most 15 bytes.
+    /// Thread name, at most 15 bytes.
     pub name: String,
-    /// On the processor so far, in microseconds.
+    /// Processor time used so far, in microseconds.
     pub processor_us: u64,
 }
 
-/// All threads of a process that live.
+/// Returns all live threads of a process.
 ///
 /// # Errors
 ///
-/// When the process is gone.
+/// Fails when the process has ended.
 pub fn processor_of_threads(process: u32) -> io::Result<Vec<ThreadTime>> {
     let mut threads = Vec::new();
     for entry in fs::read_dir(format!("/proc/{process}/task"))? {
         let path = entry?.path();
         let id = path.file_name().and_then(|name| name.to_str()).and_then(|name| name.parse().ok());
-        // One that ended meanwhile is left out.
+        // A thread that has ended in the meantime is left out.
         let (Some(id), Ok(name), Ok(times)) =
             (id, fs::read_to_string(path.join("comm")), fs::read_to_string(path.join("schedstat")))
         else {
@@ -49,11 +49,11 @@
     Ok(threads)
 }
 
-/// Memory of a process that is in use, in bytes.
+/// Returns the resident memory of a process in bytes.
 ///
 /// # Errors
 ///
-/// When the process is gone.
+/// Fails when the process has ended.
 pub fn resident_bytes(process: u32) -> io::Result<u64> {
     let text = fs::read_to_string(format!("/proc/{process}/statm"))?;
     let pages: u64 = text.split_whitespace().nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
--- a/crates/lemoncleat-lab/src/scale/report.rs
+++ b/crates/lemoncleat-lab/src/scale/report.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal of scale tells.
+//! Report of a scale rehearsal.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -7,21 +7,21 @@
 
 use super::Check;
 
-/// How figures are spread.
+/// Distribution of a set of measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Distribution {
-    /// The least.
+    /// Minimum.
     pub least: f64,
-    /// The middle one.
+    /// Median.
     pub median: f64,
-    /// 99 of 100 are no larger.
+    /// 99th percentile.
     pub p99: f64,
-    /// The most.
+    /// Maximum.
     pub most: f64,
 }
 
 impl Distribution {
-    /// That of some figures; none of none.
+    /// Computes the distribution of some measurements; `None` if there are none.
     pub fn of(mut figures: Vec<f64>) -> Option<Distribution> {
         figures.sort_unstable_by(f64::total_cmp);
         let rank = |share: f64| {
@@ -37,10 +37,10 @@
     }
 }
 
-/// What a node of a role took in a second.
+/// Resource use of one node per second, over all nodes of a role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleFigures {
-    /// Windows of about a second that were looked at, over all nodes.
+    /// Number of sampled windows of about a second, over all nodes.
     pub windows: usize,
     /// Bytes of control messages sent.
     pub bytes_sent: Option<Distribution>,
@@ -50,15 +50,15 @@
     pub messages_sent: Option<Distribution>,
     /// Control messages received.
     pub messages_received: Option<Distribution>,
-    /// Processor time, in microseconds.
+    /// Processor time in microseconds.
     pub processor_us: Option<Distribution>,
-    /// Memory in use at the end of each window, in bytes.
+    /// Resident memory at the end of each window, in bytes.
     pub memory_bytes: Option<Distribution>,
 }
 
 impl RoleFigures {
-    /// Whether each figure was measured.
-    pub fn whole(&self) -> bool {
+    /// Returns whether every distribution was measured.
+    pub fn is_complete(&self) -> bool {
         let all = [
             self.bytes_sent,
             self.bytes_received,
@@ -71,86 +71,87 @@
     }
 }
 
-/// One play.
+/// Result of one phase.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PhaseReport {
-    /// Its name.
+    /// Name of the phase.
     pub name: String,
-    /// How long it took, in milliseconds.
+    /// Duration in milliseconds.
     pub took_ms: u64,
-    /// What happened in it and how long the fleet then took to be at one, in milliseconds; none where it
-    /// never was.
+    /// Events of the phase and the time in milliseconds until the fleet's membership views agreed again;
+    /// `None` where they never did.
     pub at_one_ms: Vec<(String, Option<u64>)>,
-    /// From agreed to in force at each node, in milliseconds, for changes of configuration.
+    /// Time from agreement on a configuration until it was in force, per node, in milliseconds.
     pub in_force_ms: Option<Distribution>,
-    /// What nodes took, by role.
+    /// Resource use of the nodes, by role.
     pub roles: BTreeMap<String, RoleFigures>,
 }
 
-/// A limit that the operators set, and what was measured against it.
+/// A limit set by the operators, and the measurement compared with it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Budget {
-    /// What it limits.
+    /// Name of the limited quantity.
     pub name: String,
-    /// Where.
+    /// Phase in which it was measured.
     pub phase: String,
-    /// At whom.
+    /// Role of the nodes, or `all`.
     pub role: String,
-    /// The limit.
+    /// Limit.
     pub limit: f64,
-    /// What was measured, the 99th of 100 windows; none where it was not.
+    /// Measured value: the 99th percentile of the windows, or for the time until in force the maximum; `None`
+    /// if not measured.
     pub measured: Option<f64>,
-    /// The limit over what was measured: below 1 it was missed.
+    /// Limit divided by the measured value; below 1 the limit was exceeded.
     pub margin: Option<f64>,
 }
 
 impl Budget {
-    /// Whether it was kept; none where nothing was measured.
+    /// Returns whether the limit was kept; `None` if nothing was measured.
     pub fn kept(&self) -> Option<bool> {
         self.measured.map(|measured| measured <= self.limit)
     }
 }
 
-/// What came of it.
+/// Result of a scale rehearsal.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScaleReport {
-    /// Version of this form.
+    /// Schema version of the report.
     pub schema: u32,
     /// Seed.
     pub seed: u64,
-    /// Nodes, all together.
+    /// Total number of nodes.
     pub nodes: usize,
-    /// Those that are hollow.
+    /// Number of hollow nodes.
     pub hollow: usize,
-    /// Those that are real and have calls.
+    /// Number of nodes in processes of their own that carry calls.
     pub real: usize,
-    /// Those that are real and agree for all.
+    /// Number of voters, each in a process of its own.
     pub voters: usize,
-    /// Processes, this one not counted.
+    /// Number of processes, without the rehearsal's own.
     pub processes: usize,
-    /// Cores of the machine.
+    /// Processor cores of the machine.
     pub machine_cores: usize,
-    /// Load of the machine in the last minute, before the start.
+    /// One-minute load average of the machine before the start.
     pub load_before: f64,
-    /// How often a node looks after others, in milliseconds.
+    /// Interval of a node's membership round, in milliseconds.
     pub round_ms: u64,
-    /// The plays.
+    /// Results of the phases.
     pub phases: Vec<PhaseReport>,
-    /// Limits.
+    /// Limits and measurements.
     pub budgets: Vec<Budget>,
-    /// What had to hold of the fleet.
+    /// Invariants of the fleet.
     pub laws: Vec<Check>,
-    /// Memory of all processes together, the most that was seen, in bytes.
+    /// Maximum resident memory of all processes together, in bytes.
     pub memory_bytes: u64,
-    /// Callers' calls through the real nodes.
+    /// Number of callers judged.
     pub callers: usize,
-    /// The five rules: number, cases, times broken.
+    /// The five rules: number, cases, violations.
     pub rules: Vec<(u8, usize, usize)>,
-    /// Whether rules and laws held.
+    /// Whether all rules and invariants held.
     pub kept: bool,
 }
 
-fn short(figure: Option<f64>) -> String {
+fn format_short(figure: Option<f64>) -> String {
     match figure {
         None => "-".to_owned(),
         Some(figure) if figure >= 1e7 => format!("{:.1}M", figure / 1e6),
@@ -159,7 +160,7 @@
     }
 }
 
-/// A page of it for people.
+/// Formats a report as text.
 pub fn scale_table(report: &ScaleReport) -> String {
     let mut text = String::new();
     for phase in &report.phases {
@@ -184,37 +185,38 @@
             ];
             for (what, spread) in rows {
                 let Some(Distribution { least, median, p99, most }) = spread else { continue };
-                let [least, median, p99, most] = [least, median, p99, most].map(|figure| short(Some(figure)));
+                let [least, median, p99, most] =
+                    [least, median, p99, most].map(|figure| format_short(Some(figure)));
                 let _ = writeln!(text, "  {role:<7} {what:<20} {least:>9} {median:>9} {p99:>9} {most:>9}");
             }
         }
     }
     let _ = writeln!(text, "\nbudgets (p99 of windows of a second)");
     for budget in &report.budgets {
-        let word = match budget.kept() {
+        let verdict = match budget.kept() {
             Some(true) => "kept",
             Some(false) => "MISSED",
             None => "not measured",
         };
-        let (measured, limit) = (short(budget.measured), short(Some(budget.limit)));
+        let (measured, limit) = (format_short(budget.measured), format_short(Some(budget.limit)));
         let margin = budget.margin.map_or(String::new(), |margin| format!(" ({margin:.2} of it to spare)"));
         let _ = writeln!(
             text,
-            "  {word:<12} {:<22} {:<14} {:<7} {measured:>9} of {limit}{margin}",
+            "  {verdict:<12} {:<22} {:<14} {:<7} {measured:>9} of {limit}{margin}",
             budget.name, budget.phase, budget.role
         );
     }
     let _ = writeln!(text, "\nlaws");
     for check in &report.laws {
-        let word = if check.broken.is_empty() { "kept" } else { "BROKEN" };
-        let _ = writeln!(text, "  {word:<6} {:>7} cases  {}", check.cases, check.law);
+        let verdict = if check.broken.is_empty() { "kept" } else { "BROKEN" };
+        let _ = writeln!(text, "  {verdict:<6} {:>7} cases  {}", check.cases, check.law);
         for broken in check.broken.iter().take(10) {
             let _ = writeln!(text, "         {broken}");
         }
     }
     for (rule, cases, broken) in &report.rules {
-        let word = if *broken == 0 { "kept" } else { "BROKEN" };
-        let _ = writeln!(text, "  {word:<6} {cases:>7} cases  rule {rule} ({broken} times broken)");
+        let verdict = if *broken == 0 { "kept" } else { "BROKEN" };
+        let _ = writeln!(text, "  {verdict:<6} {cases:>7} cases  rule {rule} ({broken} times broken)");
     }
     let _ = writeln!(
         text,
@@ -231,7 +233,7 @@
     use super::*;
 
     #[test]
-    fn a_distribution_takes_figures_that_were_measured() {
+    fn distribution_takes_nearest_rank_of_measurements() {
         assert_eq!(Distribution::of(Vec::new()), None);
         let spread = Distribution::of((1..=200).rev().map(f64::from).collect()).expect("figures");
         assert_eq!((spread.least, spread.median, spread.p99, spread.most), (1.0, 100.0, 198.0, 200.0));
