--- a/crates/lemoncleat-lab/src/capacity.rs
+++ b/crates/lemoncleat-lab/src/capacity.rs
@@ -1,7 +1,8 @@
-//! The capacity page's derived tables, worked out from the results files that benches and the scale run write.
+//! Derived tables of the capacity page, computed from the results files of the benches and the scale run.
 //!
-//! A slope is fitted by least squares without the largest size, which it then has to predict. On the page each
-//! table stands between `<!-- derived: NAME -->` and `<!-- end -->`; [`render`] writes them all anew.
+//! A slope is fitted by least squares without the largest size, and is then checked by predicting it. On the
+//! page each table is placed between `<!-- derived: NAME -->` and `<!-- end -->`; [`render`] rewrites all of
+//! them.
 
 mod tables;
 
@@ -13,35 +14,35 @@
 use tables::ROLES;
 pub use tables::{Role, Row, Shape, Table, TABLES};
 
-/// The schema of both results files.
+/// Schema version of both results files.
 const SCHEMA: u64 = 1;
-/// Fewest sizes of a series.
-const FEWEST: usize = 5;
-/// A slope that misses the largest size by more, in hundredths, is to be explained on the page.
-const MOST_MISS: f64 = 15.0;
-const BEGIN: &str = "<!-- derived: ";
-const END: &str = "<!-- end -->";
-
-/// Why results or a page can't be used.
+/// Minimum number of sizes in a series.
+const MIN_SIZES: usize = 5;
+/// Maximum prediction error at the largest size, in per cent; a larger one has to be explained on the page.
+const MAX_MISS_PERCENT: f64 = 15.0;
+const BEGIN_MARKER: &str = "<!-- derived: ";
+const END_MARKER: &str = "<!-- end -->";
+
+/// Error in a results file or in the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResultsError {
-    /// The file can't be read as what it should be: torn, or a figure that is no number.
+    /// The file can't be parsed: it is truncated, or a figure is not a number.
     Unreadable(String),
-    /// The file is of another schema, this one.
+    /// The file has another schema version, which is given.
     Schema(u64),
-    /// A series, phase or role stands twice.
+    /// A series or phase occurs twice.
     Twice(String),
-    /// A series is not there.
+    /// A series, a role or all phases are missing.
     Missing(String),
-    /// A series has no figure, or no finite one, at this size.
+    /// A series has no finite figure at this size.
     NoFigure(String, String),
-    /// A series' sizes do not rise, or are not above zero.
+    /// The sizes of a series are not strictly increasing from above zero, or a spread is not increasing.
     NotRising(String),
-    /// A series has other than one figure for each size, or fewer than five.
+    /// A series does not have exactly one figure per size, or has fewer than five sizes.
     Lengths(String, usize, usize),
-    /// A series is in another unit than its row on the page.
+    /// The unit of a series differs from that of its row on the page.
     Unit(String, String),
-    /// The page's markers: an unknown table, one without an end, one twice, or none for a table.
+    /// The page's markers are wrong: a table is unknown, unterminated, duplicated or missing.
     Page(String),
 }
 
@@ -57,7 +58,10 @@
             }
             ResultsError::NotRising(name) => write!(f, "the sizes of {name} do not rise from above 0"),
             ResultsError::Lengths(name, sizes, measured) => {
-                write!(f, "{name} has {measured} figures for {sizes} sizes; one each and {FEWEST} are needed")
+                write!(
+                    f,
+                    "{name} has {measured} figures for {sizes} sizes; one each and {MIN_SIZES} are needed"
+                )
             }
             ResultsError::Unit(name, unit) => write!(f, "{name} is in {unit}, not as its row on the page"),
             ResultsError::Page(why) => write!(f, "the page: {why}"),
@@ -67,33 +71,33 @@
 
 impl std::error::Error for ResultsError {}
 
-/// How a series was measured.
+/// Conditions under which a series was measured.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Conditions {
-    /// The command that measures it again.
+    /// Command that repeats the measurement.
     pub command: String,
-    /// What was played.
+    /// Description of the workload.
     pub about: String,
-    /// Whether nothing else ran on the machine.
+    /// Whether the machine ran nothing else.
     pub quiet: bool,
 }
 
-/// One figure at several sizes.
+/// Measurements of one quantity at several sizes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// The figure's unit.
+    /// Unit of the measurements.
     pub unit: String,
-    /// What the sizes count.
+    /// Name of what the sizes count.
     pub size: String,
-    /// Rising, and above zero.
+    /// Sizes, strictly increasing from above zero.
     pub sizes: Vec<f64>,
-    /// Finite, one for each size.
+    /// Measurements, all finite, one per size.
     pub measured: Vec<f64>,
-    /// How it was measured.
+    /// Conditions of the measurement.
     pub conditions: Conditions,
 }
 
-/// The series of `docs/capacity/slopes.json`, each whole.
+/// The validated series of `docs/capacity/slopes.json`, by name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Slopes(BTreeMap<String, Series>);
 
@@ -117,7 +121,7 @@
     conditions: Conditions,
 }
 
-fn parse<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, ResultsError> {
+fn parse_results<T: for<'a> Deserialize<'a>>(text: &str) -> Result<T, ResultsError> {
     let unreadable = |error: serde_json::Error| ResultsError::Unreadable(error.to_string());
     let Schema { schema } = serde_json::from_str(text).map_err(unreadable)?;
     if schema != SCHEMA {
@@ -127,30 +131,30 @@
 }
 
 impl Slopes {
-    /// Reads a results file.
+    /// Parses a results file.
     ///
     /// # Errors
     ///
-    /// When it is damaged in any way, with the series that is.
+    /// Fails when the file is damaged in any way, and names the damaged series.
     pub fn read(text: &str) -> Result<Slopes, ResultsError> {
-        let file: SlopesFile = parse(text)?;
+        let file: SlopesFile = parse_results(text)?;
         let mut all = BTreeMap::new();
         for raw in file.series {
             let RawSeries { name, unit, size, sizes, measured, conditions } = raw;
-            if sizes.len() != measured.len() || sizes.len() < FEWEST {
+            if sizes.len() != measured.len() || sizes.len() < MIN_SIZES {
                 return Err(ResultsError::Lengths(name, sizes.len(), measured.len()));
             }
             if sizes[0] <= 0.0 || sizes.windows(2).any(|pair| pair[0] >= pair[1]) {
                 return Err(ResultsError::NotRising(name));
             }
-            let mut whole = Vec::new();
+            let mut finite = Vec::new();
             for (at, figure) in sizes.iter().zip(measured) {
                 match figure.filter(|figure| figure.is_finite()) {
-                    Some(figure) => whole.push(figure),
+                    Some(figure) => finite.push(figure),
                     None => return Err(ResultsError::NoFigure(name, format!("{at} {size}"))),
                 }
             }
-            let series = Series { unit, size, sizes, measured: whole, conditions };
+            let series = Series { unit, size, sizes, measured: finite, conditions };
             if all.insert(name.clone(), series).is_some() {
                 return Err(ResultsError::Twice(name));
             }
@@ -158,27 +162,28 @@
         Ok(Slopes(all))
     }
 
-    /// A series by name.
+    /// Returns a series by name.
     ///
     /// # Errors
     ///
-    /// When it is not there.
+    /// Fails when there is no such series.
     pub fn get(&self, name: &str) -> Result<&Series, ResultsError> {
         self.0.get(name).ok_or_else(|| ResultsError::Missing(name.to_owned()))
     }
 }
 
-/// A line through what was measured: `slope` x shape of size + `constant`.
+/// Linear fit of measurements: `slope` x shape of size + `constant`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fit {
-    /// The figure's growth with the shape of the size.
+    /// Growth with the shape of the size.
     pub slope: f64,
-    /// The figure at a shape of nothing.
+    /// Value where the shape is zero.
     pub constant: f64,
 }
 
 impl Fit {
-    /// By least squares, without the largest size; without the smallest too for what does not grow. The series has at least five rising sizes.
+    /// Fits a series by least squares without its largest size; for [`Shape::Flat`], takes the mean without
+    /// the smallest size too. The series must have at least five increasing sizes.
     pub fn of(series: &Series, shape: Shape) -> Fit {
         let kept = series.sizes.len() - 1;
         if shape == Shape::Flat {
@@ -198,38 +203,39 @@
         Fit { slope, constant: (y - slope * x) / count }
     }
 
-    /// The figure at a size.
+    /// Returns the fitted value at a size.
     pub fn at(&self, shape: Shape, size: f64) -> f64 {
         self.slope * shape.of(size) + self.constant
     }
 }
 
-/// A row's fit, and by how many hundredths what was measured at the largest size is above what it predicts.
-fn fitted(row: &Row, series: &Series) -> (Fit, f64, f64, f64) {
+/// Returns a row's fit and, for the largest size, the prediction, the measurement, and by how many per cent
+/// the measurement exceeds the prediction.
+fn fit_row(row: &Row, series: &Series) -> (Fit, f64, f64, f64) {
     let fit = Fit::of(series, row.shape);
     let (size, measured) = (series.sizes[series.sizes.len() - 1], series.measured[series.measured.len() - 1]);
     let predicted = fit.at(row.shape, size);
     (fit, predicted, measured, (measured / predicted - 1.0) * 100.0)
 }
 
-/// The series of the page whose slopes miss the largest size by more than 15 %.
+/// Returns the series of the page whose fit misses the largest size by more than 15 %.
 ///
 /// # Errors
 ///
-/// When a series of the page is not there.
+/// Fails when a series of the page is missing.
 pub fn missed(slopes: &Slopes) -> Result<Vec<&'static str>, ResultsError> {
     let mut names = Vec::new();
     for row in TABLES.iter().filter(|table| table.fitted).flat_map(|table| table.rows) {
-        let (.., miss) = fitted(row, slopes.get(row.series)?);
-        if miss.is_nan() || miss.abs() > MOST_MISS {
+        let (.., miss) = fit_row(row, slopes.get(row.series)?);
+        if miss.is_nan() || miss.abs() > MAX_MISS_PERCENT {
             names.push(row.series);
         }
     }
     Ok(names)
 }
 
-/// Four digits that count, with commas between thousands.
-fn figure(value: f64) -> String {
+/// Formats a value with about four significant digits and commas between thousands.
+fn format_figure(value: f64) -> String {
     let size = value.abs();
     let digits = match size {
         _ if size >= 1_000.0 || size == 0.0 => 0,
@@ -253,17 +259,17 @@
     format!("{sign}{grouped}{point}{rest}")
 }
 
-fn line(cells: &[String]) -> String {
+fn table_row(cells: &[String]) -> String {
     format!("| {} |\n", cells.join(" | "))
 }
 
-fn head(cells: &[&str]) -> String {
+fn table_head(cells: &[&str]) -> String {
     let cells: Vec<String> = cells.iter().map(|cell| (*cell).to_owned()).collect();
-    line(&cells) + &format!("|{}\n", " --- |".repeat(cells.len()))
+    table_row(&cells) + &format!("|{}\n", " --- |".repeat(cells.len()))
 }
 
-/// A row's series, in the row's unit.
-fn checked<'a>(row: &Row, slopes: &'a Slopes) -> Result<&'a Series, ResultsError> {
+/// Returns a row's series, after checking that its unit is the row's.
+fn series_of<'a>(row: &Row, slopes: &'a Slopes) -> Result<&'a Series, ResultsError> {
     let series = slopes.get(row.series)?;
     if series.unit == row.unit {
         Ok(series)
@@ -274,31 +280,38 @@
 
 fn formula(row: &Row, fit: &Fit) -> String {
     if row.shape == Shape::Flat {
-        return figure(fit.constant);
+        return format_figure(fit.constant);
     }
     let sign = if fit.constant < 0.0 { "-" } else { "+" };
-    format!("{} x {} {sign} {}", figure(fit.slope), row.shape.name(), figure(fit.constant.abs()))
+    format!(
+        "{} x {} {sign} {}",
+        format_figure(fit.slope),
+        row.shape.name(),
+        format_figure(fit.constant.abs())
+    )
 }
 
-fn at_size(row: &Row, fit: &Fit) -> String {
-    format!("{} at {}", figure(fit.at(row.shape, row.at)), figure(row.at))
+fn at_design_size(row: &Row, fit: &Fit) -> String {
+    format!("{} at {}", format_figure(fit.at(row.shape, row.at)), format_figure(row.at))
 }
 
 fn budget(row: &Row) -> String {
-    row.budget.map_or_else(|| "-".to_owned(), figure)
+    row.budget.map_or_else(|| "-".to_owned(), format_figure)
 }
 
 fn margin(row: &Row, fit: &Fit) -> String {
     let at = fit.at(row.shape, row.at);
     match row.budget {
         None => "-".to_owned(),
-        Some(budget) if at <= budget => format!("{} x under", figure(budget / at.max(f64::MIN_POSITIVE))),
-        Some(budget) => format!("**{} x over**", figure(at / budget)),
+        Some(budget) if at <= budget => {
+            format!("{} x under", format_figure(budget / at.max(f64::MIN_POSITIVE)))
+        }
+        Some(budget) => format!("**{} x over**", format_figure(at / budget)),
     }
 }
 
-fn table(table: &Table, slopes: &Slopes) -> Result<String, ResultsError> {
-    let series = |row: &Row| checked(row, slopes);
+fn format_table(table: &Table, slopes: &Slopes) -> Result<String, ResultsError> {
+    let series = |row: &Row| series_of(row, slopes);
     let quiet = |series: &Series| match (series.unit.starts_with("us"), series.conditions.quiet) {
         (false, _) if series.unit == "bytes" => "resident".to_owned(),
         (false, _) => "exact".to_owned(),
@@ -308,10 +321,10 @@
     let mut text = String::new();
     if !table.fitted {
         let first = series(&table.rows[0])?;
-        let sizes = first.sizes.iter().map(|size| format!("{} {}", figure(*size), first.size));
+        let sizes = first.sizes.iter().map(|size| format!("{} {}", format_figure(*size), first.size));
         let cells: Vec<String> =
             ["what".to_owned()].into_iter().chain(sizes).chain(["quiet".to_owned()]).collect();
-        text += &head(&cells.iter().map(String::as_str).collect::<Vec<_>>());
+        text += &table_head(&cells.iter().map(String::as_str).collect::<Vec<_>>());
         for row in table.rows {
             let series = series(row)?;
             if series.sizes != first.sizes {
@@ -322,13 +335,13 @@
                 ));
             }
             let what = format!("{}, {}", row.what, series.unit);
-            let figures = series.measured.iter().map(|it| figure(*it));
+            let figures = series.measured.iter().map(|it| format_figure(*it));
             let cells = std::iter::once(what).chain(figures).chain([quiet(series)]);
-            text += &line(&cells.collect::<Vec<_>>());
+            text += &table_row(&cells.collect::<Vec<_>>());
         }
         return Ok(text);
     }
-    text += &head(&[
+    text += &table_head(&[
         "what",
         "slope x size + constant",
         "size",
@@ -342,15 +355,15 @@
     ]);
     for row in table.rows {
         let series = series(row)?;
-        let (fit, predicted, measured, miss) = fitted(row, series);
-        text += &line(&[
+        let (fit, predicted, measured, miss) = fit_row(row, series);
+        text += &table_row(&[
             format!("{}, {} (`{}`)", row.what, series.unit, row.series),
             formula(row, &fit),
             series.size.clone(),
-            figure(predicted),
-            figure(measured),
+            format_figure(predicted),
+            format_figure(measured),
             format!("{miss:+.1} %"),
-            at_size(row, &fit),
+            at_design_size(row, &fit),
             budget(row),
             margin(row, &fit),
             quiet(series),
@@ -359,16 +372,17 @@
     Ok(text)
 }
 
-/// By role: what stands on a node at the size designed for, and what carries it.
-fn roles(slopes: &Slopes) -> Result<String, ResultsError> {
-    let mut text = head(&["role", "what", "slope x size + constant", "at", "budget", "margin", "carried by"]);
+/// Formats the table of roles: the load on a node at the design size, and the code that carries it.
+fn format_roles(slopes: &Slopes) -> Result<String, ResultsError> {
+    let mut text =
+        table_head(&["role", "what", "slope x size + constant", "at", "budget", "margin", "carried by"]);
     for role in ROLES {
         let cells = match &role.row {
             None => ["not measured", "-", "-", "-"].map(str::to_owned),
             Some(row) => {
-                let series = checked(row, slopes)?;
-                let (fit, ..) = fitted(row, series);
-                [formula(row, &fit), at_size(row, &fit), budget(row), margin(row, &fit)]
+                let series = series_of(row, slopes)?;
+                let (fit, ..) = fit_row(row, series);
+                [formula(row, &fit), at_design_size(row, &fit), budget(row), margin(row, &fit)]
             }
         };
         let what = match &role.row {
@@ -376,12 +390,12 @@
             Some(row) => format!("{}: {}, {}", role.what, row.what, row.unit),
         };
         let cells = [role.role.to_owned(), what].into_iter().chain(cells).chain([role.carried.to_owned()]);
-        text += &line(&cells.collect::<Vec<_>>());
+        text += &table_row(&cells.collect::<Vec<_>>());
     }
     Ok(text)
 }
 
-/// What one second of one node cost: over all nodes of a role and all seconds of a phase.
+/// Distribution of a quantity per node and second, over all nodes of a role and all seconds of a phase.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Spread {
@@ -407,20 +421,20 @@
     roles: BTreeMap<String, RoleCost>,
 }
 
-/// What the scale run wrote to `docs/capacity/scale.json`.
+/// Results of the scale run, as written to `docs/capacity/scale.json`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Scale {
     phases: Vec<Phase>,
 }
 
 impl Scale {
-    /// Reads the scale run's results.
+    /// Parses the results of the scale run.
     ///
     /// # Errors
     ///
-    /// When the file is damaged, a phase stands twice or has no roles, or a spread does not rise.
+    /// Fails when the file is damaged, a phase occurs twice or has no roles, or a spread is not increasing.
     pub fn read(text: &str) -> Result<Scale, ResultsError> {
-        let scale: Scale = parse(text)?;
+        let scale: Scale = parse_results(text)?;
         let mut names: Vec<&str> = scale.phases.iter().map(|phase| phase.name.as_str()).collect();
         names.sort_unstable();
         if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
@@ -435,8 +449,8 @@
             }
             for (role, cost) in &phase.roles {
                 for (what, spread, _) in cost.spreads() {
-                    let rises = [spread.least, spread.median, spread.p99, spread.most];
-                    if spread.least < 0.0 || rises.windows(2).any(|pair| pair[0] > pair[1]) {
+                    let values = [spread.least, spread.median, spread.p99, spread.most];
+                    if spread.least < 0.0 || values.windows(2).any(|pair| pair[0] > pair[1]) {
                         return Err(ResultsError::NotRising(format!("{what} of {role} in {}", phase.name)));
                     }
                 }
@@ -447,24 +461,24 @@
 }
 
 impl RoleCost {
-    /// What, how it spread, and the budget of a node.
+    /// Returns each quantity with its distribution and the budget of a node.
     fn spreads(&self) -> [(&'static str, Spread, Option<f64>); 6] {
         [
-            ("bytes_sent", self.bytes_sent, Some(tables::BYTES)),
-            ("bytes_received", self.bytes_received, Some(tables::BYTES)),
+            ("bytes_sent", self.bytes_sent, Some(tables::BYTES_PER_S)),
+            ("bytes_received", self.bytes_received, Some(tables::BYTES_PER_S)),
             ("messages_sent", self.messages_sent, None),
             ("messages_received", self.messages_received, None),
-            ("processor_us", self.processor_us, Some(tables::PROCESSOR)),
-            ("memory_bytes", self.memory_bytes, Some(tables::MEMORY)),
+            ("processor_us", self.processor_us, Some(tables::PROCESSOR_US_PER_S)),
+            ("memory_bytes", self.memory_bytes, Some(tables::MEMORY_BYTES)),
         ]
     }
 }
 
-fn scale_table(scale: Option<&Scale>) -> String {
+fn format_scale(scale: Option<&Scale>) -> String {
     let Some(scale) = scale else {
         return "Not run yet: `docs/capacity/scale.json` is not there.\n".to_owned();
     };
-    let mut text = head(&[
+    let mut text = table_head(&[
         "phase",
         "role",
         "per second of a node",
@@ -478,54 +492,55 @@
     for phase in &scale.phases {
         for (role, cost) in &phase.roles {
             for (what, spread, budget) in cost.spreads() {
-                let held = budget.map_or("-", |it| if spread.p99 <= it { "within" } else { "**over**" });
-                let figures = [spread.least, spread.median, spread.p99, spread.most].map(figure);
+                let verdict = budget.map_or("-", |it| if spread.p99 <= it { "within" } else { "**over**" });
+                let figures = [spread.least, spread.median, spread.p99, spread.most].map(format_figure);
                 let cells = [phase.name.clone(), role.clone(), what.to_owned()];
-                let budget = budget.map_or_else(|| "-".to_owned(), figure);
-                let cells = cells.into_iter().chain(figures).chain([budget, held.to_owned()]);
-                text += &line(&cells.collect::<Vec<_>>());
+                let budget = budget.map_or_else(|| "-".to_owned(), format_figure);
+                let cells = cells.into_iter().chain(figures).chain([budget, verdict.to_owned()]);
+                text += &table_row(&cells.collect::<Vec<_>>());
             }
         }
     }
     text
 }
 
-/// The page with all its derived tables written anew.
+/// Returns the page with all its derived tables rewritten.
 ///
 /// # Errors
 ///
-/// When a series of a table is not there or in another unit, or the page's markers are not one pair for each table.
+/// Fails when a series of a table is missing or in another unit, or the page does not have exactly one pair
+/// of markers for each table.
 pub fn render(page: &str, slopes: &Slopes, scale: Option<&Scale>) -> Result<String, ResultsError> {
-    let wrong = |why: String| Err(ResultsError::Page(why));
+    let bad_page = |why: String| Err(ResultsError::Page(why));
     let mut text = String::new();
-    let mut met: Vec<&str> = Vec::new();
+    let mut found: Vec<&str> = Vec::new();
     let mut rest = page;
-    while let Some((before, after)) = rest.split_once(BEGIN) {
+    while let Some((before, after)) = rest.split_once(BEGIN_MARKER) {
         let Some((name, after)) = after.split_once(" -->\n") else {
-            return wrong("a marker without an end of line".to_owned());
+            return bad_page("a marker without an end of line".to_owned());
         };
-        let Some((old, after)) = after.split_once(END) else {
-            return wrong(format!("table {name} has no end"));
+        let Some((old, after)) = after.split_once(END_MARKER) else {
+            return bad_page(format!("table {name} has no end"));
         };
-        if old.contains(BEGIN) {
-            return wrong(format!("table {name} has no end"));
+        if old.contains(BEGIN_MARKER) {
+            return bad_page(format!("table {name} has no end"));
         }
-        if met.contains(&name) {
-            return wrong(format!("table {name} stands twice"));
+        if found.contains(&name) {
+            return bad_page(format!("table {name} stands twice"));
         }
-        met.push(name);
+        found.push(name);
         let new = match TABLES.iter().find(|table| table.name == name) {
-            Some(known) => table(known, slopes)?,
-            None if name == "roles" => roles(slopes)?,
-            None if name == "scale" => scale_table(scale),
-            None => return wrong(format!("table {name} is not known")),
+            Some(known) => format_table(known, slopes)?,
+            None if name == "roles" => format_roles(slopes)?,
+            None if name == "scale" => format_scale(scale),
+            None => return bad_page(format!("table {name} is not known")),
         };
-        text += &format!("{before}{BEGIN}{name} -->\n{new}{END}");
+        text += &format!("{before}{BEGIN_MARKER}{name} -->\n{new}{END_MARKER}");
         rest = after;
     }
     let all = TABLES.iter().map(|table| table.name).chain(["roles", "scale"]);
-    if let Some(name) = all.into_iter().find(|name| !met.contains(name)) {
-        return wrong(format!("table {name} is not on it"));
+    if let Some(name) = all.into_iter().find(|name| !found.contains(name)) {
+        return bad_page(format!("table {name} is not on it"));
     }
     Ok(text + rest)
 }
--- a/crates/lemoncleat-lab/src/capacity/record.rs
+++ b/crates/lemoncleat-lab/src/capacity/record.rs
@@ -1,41 +1,42 @@
-//! Writes what a bench measured into the results file, and measures the processor's time. The benches of several packages take this file in by its path.
+//! Writes the measurements of a bench to the results file, and measures processor time. The benches of
+//! several packages include this file by its path.
 
 use rustix::time::{clock_gettime, ClockId};
 use serde_json::{json, Value};
 
 const FILE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/capacity/slopes.json");
-/// The results file's schema.
+/// Schema version of the results file.
 const SCHEMA: u64 = 1;
 
-/// What the thread has had of a processor: what others take of the machine is not in it, but for what their use of
-/// caches costs.
+/// Processor time of the thread. Other load on the machine does not count, except through its effect on the
+/// caches.
 pub struct Spent(u64);
 
 impl Spent {
-    /// From now on.
+    /// Starts a measurement.
     pub fn now() -> Spent {
         let spent = clock_gettime(ClockId::ThreadCPUTime);
         Spent(spent.tv_sec as u64 * 1_000_000_000 + spent.tv_nsec as u64)
     }
 
-    /// Nanoseconds since then.
+    /// Returns the processor time since the start, in nanoseconds.
     pub fn nanos(&self) -> u64 {
         Spent::now().0 - self.0
     }
 }
 
-/// One figure at several sizes.
+/// Measurements of one quantity at several sizes.
 pub struct Series {
     pub name: String,
     pub unit: &'static str,
-    /// What the sizes count.
+    /// Name of what the sizes count.
     pub size: &'static str,
     pub sizes: Vec<f64>,
     pub measured: Vec<f64>,
 }
 
-/// Puts series into the results file, in the place of those of the same names. A figure that could not be had (not
-/// a number) is written as null, and the page's test names it.
+/// Writes series to the results file, replacing those of the same names. A missing figure (not a number) is
+/// written as null, and the page's test names it.
 pub fn record(command: &str, about: &str, series: Vec<Series>) {
     let mut file = match std::fs::read(FILE) {
         Ok(bytes) => serde_json::from_slice(&bytes).expect("docs/capacity/slopes.json is JSON"),
@@ -46,12 +47,12 @@
     for one in series {
         all.retain(|old| old["name"] != *one.name);
         all.push(json!({
-            "name": one.name, "unit": one.unit, "size": one.size, "sizes": one.sizes, "measured": one.measured,
-            "conditions": {"command": command, "about": about, "quiet": quiet},
+            "name": one.name, "unit": one.unit, "size": one.size, "sizes": one.sizes,
+            "measured": one.measured, "conditions": {"command": command, "about": about, "quiet": quiet},
         }));
     }
     all.sort_by(|a, b| a["name"].as_str().cmp(&b["name"].as_str()));
-    // A series a line: changes of it are read by lines.
+    // One series per line, so that differences are readable.
     let lines: Vec<String> = all.iter().map(Value::to_string).collect();
     let text = format!("{{\"schema\": {SCHEMA}, \"series\": [\n{}\n]}}\n", lines.join(",\n"));
     std::fs::write(FILE, text).expect("docs/capacity/slopes.json is written");
--- a/crates/lemoncleat-lab/src/capacity/tables.rs
+++ b/crates/lemoncleat-lab/src/capacity/tables.rs
@@ -1,36 +1,37 @@
-//! What stands in the page's derived tables.
+//! Contents of the page's derived tables.
 
-/// Bytes a second of a node: 4 KB of 1,000 bytes, sent and received together.
-pub(super) const BYTES: f64 = 4_000.0;
-/// Microseconds of a core a second of a node: 2.6 %.
-pub(super) const PROCESSOR: f64 = 26_000.0;
-/// Bytes of memory of a node: 128 MB.
-pub(super) const MEMORY: f64 = 128e6;
-/// Microseconds that may be added to a call's set-up, for 99 in 100, over the whole chain.
-const ADDED: f64 = 2_000.0;
-/// Servers, and with each an access node.
+/// Budget of a node in bytes per second, sent and received together: 4 kB of 1,000 bytes.
+pub(super) const BYTES_PER_S: f64 = 4_000.0;
+/// Budget of a node in microseconds of processor time per second: 2.6 % of a core.
+pub(super) const PROCESSOR_US_PER_S: f64 = 26_000.0;
+/// Memory budget of a node in bytes: 128 MB.
+pub(super) const MEMORY_BYTES: f64 = 128e6;
+/// Budget for the time added to a call's set-up over the whole chain, 99th percentile, in microseconds.
+const MAX_ADDED_US: f64 = 2_000.0;
+/// Design number of servers, each with an access node.
 const NODES: f64 = 1_000.0;
-/// Calls a second that enter a node if all 44,000 are hops 29 deep.
-const CALLS: f64 = 1_276.0;
-/// The deepest chain.
-const DEEP: f64 = 29.0;
+/// Calls per second that enter a node if the 44,000 calls per second all pass 29 hops.
+const CALLS_PER_S: f64 = 1_276.0;
+/// Maximum number of hops in a chain.
+const MAX_HOPS: f64 = 29.0;
+/// Design number of services: 1,000 servers, 11 per service.
 const SERVICES: f64 = 91.0;
 
-/// What a figure grows with.
+/// Function of the size with which a quantity grows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// The size.
+    /// Proportional to the size.
     Linear,
-    /// The size times its logarithm to base 2.
+    /// Proportional to the size times its logarithm to base 2.
     LogLinear,
-    /// The size squared.
+    /// Proportional to the size squared.
     Square,
-    /// Nothing, from the second size on: what saturates, or never grew.
+    /// Constant from the second size on: the quantity saturates or does not grow.
     Flat,
 }
 
 impl Shape {
-    /// What a size counts for.
+    /// Returns the value of the function at a size.
     pub fn of(self, size: f64) -> f64 {
         match self {
             Shape::Linear => size,
@@ -50,31 +51,31 @@
     }
 }
 
-/// A series on the page.
+/// A row of a table, made from one series.
 #[derive(Clone, Copy, Debug)]
 pub struct Row {
-    /// Of the results file.
+    /// Name of the series in the results file.
     pub series: &'static str,
-    /// In the page's words.
+    /// Description on the page.
     pub what: &'static str,
-    /// The unit that it must be in.
+    /// Unit that the series must have.
     pub unit: &'static str,
-    /// What it is fitted to.
+    /// Function that is fitted.
     pub shape: Shape,
-    /// The size that is designed for.
+    /// Design size.
     pub at: f64,
-    /// The most that it may be there.
+    /// Maximum value at the design size.
     pub budget: Option<f64>,
 }
 
 /// A derived table.
 #[derive(Clone, Copy, Debug)]
 pub struct Table {
-    /// Between the page's markers.
+    /// Name in the page's markers.
     pub name: &'static str,
-    /// Fitted, with the largest size predicted; or the figures as measured.
+    /// Whether the table shows fits that predict the largest size, or the measurements themselves.
     pub fitted: bool,
-    /// Its rows, at least one.
+    /// Rows, at least one.
     pub rows: &'static [Row],
 }
 
@@ -92,16 +93,16 @@
     Row { shape, ..row }
 }
 
-/// What a role holds, says or spends, and what carries it.
+/// Resource use of a role, and the code that causes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Role {
-    /// The role.
+    /// Name of the role.
     pub role: &'static str,
     /// State, messages, processor time or memory.
     pub what: &'static str,
-    /// The figure; none where none was measured.
+    /// Measurement; `None` if there is none.
     pub row: Option<Row>,
-    /// Package and file, or *missing*.
+    /// Package and file of the code, or *missing*.
     pub carried: &'static str,
 }
 
@@ -114,29 +115,41 @@
 const VOTER: &str = "voter";
 const CONTROL: &str = "control machine";
 const FLEET: &str = "lemoncleat-fleet, `fleet.rs`";
-const PART: &str = "lemoncleat-commons, `part.rs`, and lemoncleat-fleet, `fleet.rs`";
-const SEAT: &str = "lemoncleat-commons, `seat.rs`, and lemoncleat-agreement, `voter.rs`";
+const PARTICIPANT: &str = "lemoncleat-commons, `part.rs`, and lemoncleat-fleet, `fleet.rs`";
+const VOTER_SEAT: &str = "lemoncleat-commons, `seat.rs`, and lemoncleat-agreement, `voter.rs`";
 
-/// The roles' table.
+/// Rows of the table of roles.
 pub(super) const ROLES: &[Role] = &[
     role(ACCESS, "state: servers known", None, "lemoncleat, `state.rs`; a view by service is *missing*"),
     role(ACCESS, "state: configuration of the whole fleet", None, "*missing*"),
     role(
         ACCESS,
         "messages",
-        Some(row("members-notes-told-wire-both-p99", "notes, as told, p99", "bytes/s", NODES, Some(BYTES))),
+        Some(row(
+            "members-notes-told-wire-both-p99",
+            "notes, as told, p99",
+            "bytes/s",
+            NODES,
+            Some(BYTES_PER_S),
+        )),
         FLEET,
     ),
     role(
         ACCESS,
         "processor time",
-        Some(row("members-notes-told-processor-mean", "members and facts", "us/s", NODES, Some(PROCESSOR))),
+        Some(row(
+            "members-notes-told-processor-mean",
+            "members and facts",
+            "us/s",
+            NODES,
+            Some(PROCESSOR_US_PER_S),
+        )),
         FLEET,
     ),
     role(
         ACCESS,
         "memory",
-        Some(row("members-notes-told-memory", "members and facts", "bytes", NODES, Some(MEMORY))),
+        Some(row("members-notes-told-memory", "members and facts", "bytes", NODES, Some(MEMORY_BYTES))),
         FLEET,
     ),
     role(DIAMETER, "state: servers known", None, "lemoncleat, `state.rs`; a view by service is *missing*"),
@@ -149,8 +162,14 @@
     role(
         DIAMETER,
         "messages",
-        Some(row("members-200ms-told-wire-both-p99", "words, as told, p99", "bytes/s", NODES, Some(BYTES))),
-        PART,
+        Some(row(
+            "members-200ms-told-wire-both-p99",
+            "words, as told, p99",
+            "bytes/s",
+            NODES,
+            Some(BYTES_PER_S),
+        )),
+        PARTICIPANT,
     ),
     role(
         DIAMETER,
@@ -162,7 +181,7 @@
                 "pulls of a follower",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
         )),
         "lemoncleat-agreement, `follower.rs`",
@@ -172,9 +191,15 @@
         "processor time",
         Some(shaped(
             Shape::LogLinear,
-            row("members-200ms-told-processor-mean", "members and facts", "us/s", NODES, Some(PROCESSOR)),
+            row(
+                "members-200ms-told-processor-mean",
+                "members and facts",
+                "us/s",
+                NODES,
+                Some(PROCESSOR_US_PER_S),
+            ),
         )),
-        PART,
+        PARTICIPANT,
     ),
     role(
         DIAMETER,
@@ -184,60 +209,84 @@
             "set-up of one hop with all servers known",
             "us",
             NODES,
-            Some(ADDED / DEEP),
+            Some(MAX_ADDED_US / MAX_HOPS),
         )),
         "lemoncleat, `decide.rs`, and lemoncleat-node, `node/calls.rs`",
     ),
     role(
         DIAMETER,
         "memory",
-        Some(row("members-200ms-told-memory", "members and facts", "bytes", NODES, Some(MEMORY))),
-        PART,
+        Some(row("members-200ms-told-memory", "members and facts", "bytes", NODES, Some(MEMORY_BYTES))),
+        PARTICIPANT,
     ),
     role(
         VOTER,
         "state",
         Some(row("agreement-rest-voter-connections", "connections", "count", NODES, None)),
-        SEAT,
+        VOTER_SEAT,
     ),
     role(
         VOTER,
         "messages",
-        Some(row("agreement-rest-voter-wire-both-most", "rest, busiest 1 s", "bytes/s", NODES, Some(BYTES))),
-        SEAT,
+        Some(row(
+            "agreement-rest-voter-wire-both-most",
+            "rest, busiest 1 s",
+            "bytes/s",
+            NODES,
+            Some(BYTES_PER_S),
+        )),
+        VOTER_SEAT,
     ),
     role(
         VOTER,
         "processor time",
-        Some(row("agreement-rest-voter-processor-mean", "core at rest", "us/s", NODES, Some(PROCESSOR))),
-        SEAT,
+        Some(row(
+            "agreement-rest-voter-processor-mean",
+            "core at rest",
+            "us/s",
+            NODES,
+            Some(PROCESSOR_US_PER_S),
+        )),
+        VOTER_SEAT,
     ),
-    role(VOTER, "memory", None, SEAT),
+    role(VOTER, "memory", None, VOTER_SEAT),
     role(CONTROL, "state, messages, processor time, memory", None, "*missing*: there is no such role yet"),
 ];
 
-/// All derived tables that the slopes give.
+/// All tables derived from the slopes.
 pub const TABLES: &[Table] = &[
     Table {
         name: "call",
         fitted: true,
         rows: &[
             row("call-module-p50", "the module, middle", "us", NODES, None),
-            row("call-module-p99", "the module, p99", "us", NODES, Some(ADDED / DEEP)),
+            row("call-module-p99", "the module, p99", "us", NODES, Some(MAX_ADDED_US / MAX_HOPS)),
             row("call-servers-p50", "set-up in the core, middle", "us", NODES, None),
-            row("call-servers-p99", "set-up in the core, p99", "us", NODES, Some(ADDED / DEEP)),
+            row("call-servers-p99", "set-up in the core, p99", "us", NODES, Some(MAX_ADDED_US / MAX_HOPS)),
             row("call-servers-whole", "a whole call in the core, mean", "us", NODES, None),
             row("call-services-p50", "set-up, 11 servers a service, middle", "us", SERVICES, None),
-            row("call-services-p99", "set-up, 11 servers a service, p99", "us", SERVICES, Some(ADDED / DEEP)),
-            shaped(Shape::Flat, row("call-rate-p50", "set-up, 11 servers, middle", "us", CALLS, None)),
+            row(
+                "call-services-p99",
+                "set-up, 11 servers a service, p99",
+                "us",
+                SERVICES,
+                Some(MAX_ADDED_US / MAX_HOPS),
+            ),
+            shaped(Shape::Flat, row("call-rate-p50", "set-up, 11 servers, middle", "us", CALLS_PER_S, None)),
             shaped(
                 Shape::Flat,
-                row("call-rate-p99", "set-up, 11 servers, p99", "us", CALLS, Some(ADDED / DEEP)),
+                row(
+                    "call-rate-p99",
+                    "set-up, 11 servers, p99",
+                    "us",
+                    CALLS_PER_S,
+                    Some(MAX_ADDED_US / MAX_HOPS),
+                ),
             ),
-            row("call-rate-processor", "calls of a node with 11 servers", "us/s", CALLS, None),
-            row("call-depth-11-p99", "chain, 11 servers a hop, p99", "us", DEEP, Some(ADDED)),
-            row("call-depth-60-p99", "chain, 60 servers a hop, p99", "us", DEEP, Some(ADDED)),
-            row("call-depth-1000-p99", "chain, 1,000 servers a hop, p99", "us", DEEP, Some(ADDED)),
+            row("call-rate-processor", "calls of a node with 11 servers", "us/s", CALLS_PER_S, None),
+            row("call-depth-11-p99", "chain, 11 servers a hop, p99", "us", MAX_HOPS, Some(MAX_ADDED_US)),
+            row("call-depth-60-p99", "chain, 60 servers a hop, p99", "us", MAX_HOPS, Some(MAX_ADDED_US)),
+            row("call-depth-1000-p99", "chain, 1,000 servers a hop, p99", "us", MAX_HOPS, Some(MAX_ADDED_US)),
         ],
     },
     Table {
@@ -259,14 +308,14 @@
                     "rest, both, p99 of 1 s",
                     "bytes/s",
                     NODES,
-                    Some(BYTES),
+                    Some(BYTES_PER_S),
                 ),
             ),
             shaped(
                 Shape::Flat,
                 row("members-200ms-rest-messages-sent-mean", "rest, words sent", "messages/s", NODES, None),
             ),
-            row("members-200ms-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR)),
+            row("members-200ms-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR_US_PER_S)),
             row("members-200ms-told-wire-sent-mean", "as told today, sent", "bytes/s", NODES, None),
             row("members-200ms-told-wire-received-mean", "as told today, received", "bytes/s", NODES, None),
             row(
@@ -274,7 +323,7 @@
                 "as told today, both, p99 of 1 s",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             shaped(
                 Shape::Flat,
@@ -288,9 +337,15 @@
             ),
             shaped(
                 Shape::LogLinear,
-                row("members-200ms-told-processor-mean", "as told today", "us/s", NODES, Some(PROCESSOR)),
+                row(
+                    "members-200ms-told-processor-mean",
+                    "as told today",
+                    "us/s",
+                    NODES,
+                    Some(PROCESSOR_US_PER_S),
+                ),
             ),
-            row("members-200ms-told-memory", "as told today, memory", "bytes", NODES, Some(MEMORY)),
+            row("members-200ms-told-memory", "as told today, memory", "bytes", NODES, Some(MEMORY_BYTES)),
         ],
     },
     Table {
@@ -299,9 +354,15 @@
         rows: &[
             shaped(
                 Shape::Flat,
-                row("members-1s-rest-wire-both-p99", "rest, both, p99 of 1 s", "bytes/s", NODES, Some(BYTES)),
+                row(
+                    "members-1s-rest-wire-both-p99",
+                    "rest, both, p99 of 1 s",
+                    "bytes/s",
+                    NODES,
+                    Some(BYTES_PER_S),
+                ),
             ),
-            row("members-1s-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR)),
+            row("members-1s-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR_US_PER_S)),
             row("members-1s-told-wire-sent-mean", "as told today, sent", "bytes/s", NODES, None),
             row("members-1s-told-wire-received-mean", "as told today, received", "bytes/s", NODES, None),
             row(
@@ -309,7 +370,7 @@
                 "as told today, both, p99 of 1 s",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             shaped(
                 Shape::Flat,
@@ -323,7 +384,13 @@
             ),
             shaped(
                 Shape::LogLinear,
-                row("members-1s-told-processor-mean", "as told today", "us/s", NODES, Some(PROCESSOR)),
+                row(
+                    "members-1s-told-processor-mean",
+                    "as told today",
+                    "us/s",
+                    NODES,
+                    Some(PROCESSOR_US_PER_S),
+                ),
             ),
         ],
     },
@@ -338,10 +405,10 @@
                     "rest, both, p99 of 1 s",
                     "bytes/s",
                     NODES,
-                    Some(BYTES),
+                    Some(BYTES_PER_S),
                 ),
             ),
-            row("members-notes-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR)),
+            row("members-notes-rest-processor-mean", "rest", "us/s", NODES, Some(PROCESSOR_US_PER_S)),
             row("members-notes-told-wire-sent-mean", "as told today, sent", "bytes/s", NODES, None),
             row("members-notes-told-wire-received-mean", "as told today, received", "bytes/s", NODES, None),
             row(
@@ -349,7 +416,7 @@
                 "as told today, both, p99 of 1 s",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             row(
                 "members-notes-told-messages-sent-mean",
@@ -358,8 +425,14 @@
                 NODES,
                 None,
             ),
-            row("members-notes-told-processor-mean", "as told today", "us/s", NODES, Some(PROCESSOR)),
-            row("members-notes-told-memory", "as told today, memory", "bytes", NODES, Some(MEMORY)),
+            row(
+                "members-notes-told-processor-mean",
+                "as told today",
+                "us/s",
+                NODES,
+                Some(PROCESSOR_US_PER_S),
+            ),
+            row("members-notes-told-memory", "as told today, memory", "bytes", NODES, Some(MEMORY_BYTES)),
         ],
     },
     Table {
@@ -413,14 +486,14 @@
                 "rest, both, busiest 1 s",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             row(
                 "agreement-rest-voter-processor-mean",
                 "rest, core of a voter",
                 "us/s",
                 NODES,
-                Some(PROCESSOR),
+                Some(PROCESSOR_US_PER_S),
             ),
             shaped(
                 Shape::Flat,
@@ -429,7 +502,7 @@
                     "rest, a follower, both",
                     "bytes/s",
                     NODES,
-                    Some(BYTES),
+                    Some(BYTES_PER_S),
                 ),
             ),
             row(
@@ -437,21 +510,21 @@
                 "an order, busiest voter, both",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             row(
                 "agreement-start-voter-wire-sent-most",
                 "all start with a state of 256 KiB, busiest voter sends",
                 "bytes/s",
                 NODES,
-                Some(BYTES),
+                Some(BYTES_PER_S),
             ),
             row(
                 "agreement-start-voter-processor-most",
                 "the same, core of the busiest voter",
                 "us/s",
                 NODES,
-                Some(PROCESSOR),
+                Some(PROCESSOR_US_PER_S),
             ),
         ],
     },
--- a/crates/lemoncleat-lab/src/stage/fleet.rs
+++ b/crates/lemoncleat-lab/src/stage/fleet.rs
@@ -1,4 +1,4 @@
-//! Many processes that reach each other through the relay only.
+//! Processes that reach each other only through the relay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,20 +6,20 @@
 
 use super::{Control, Disk, Links, Process, Program, Ready};
 
-/// Processes of a fleet at most.
-const MOST: usize = 64;
+/// Maximum number of processes in a fleet.
+const MAX_PROCESSES: usize = 64;
 
-/// One process of a fleet.
+/// A process of a fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name in links, and in the settings as these will have it.
+    /// Name of the process in [`Links`]; settings may use it too.
     pub name: String,
-    /// Where it stands.
+    /// Zone of the process.
     pub zone: String,
 }
 
 impl Member {
-    /// So many members `n1`, `n2` and on, dealt out to zones in turn.
+    /// Returns `count` members `n1`, `n2` and so on, assigned to the zones in turn.
     pub fn spread(count: usize, zones: &[&str]) -> Vec<Member> {
         (1..=count)
             .zip(zones.iter().cycle())
@@ -28,48 +28,49 @@
     }
 }
 
-/// What is started.
+/// Processes to start as a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The binary and its arguments.
+    /// Binary and arguments.
     pub program: Program,
-    /// The processes.
+    /// Members of the fleet, one per process.
     pub members: Vec<Member>,
-    /// The folder that holds a folder for each; it is removed with the fleet, unless a test is failing.
+    /// Folder that contains a folder for each process. It is removed with the fleet, unless the thread
+    /// panics.
     pub folder: PathBuf,
 }
 
-/// What the settings of a process are made from.
+/// Data from which the settings of a process are made.
 pub struct Site<'a> {
     links: &'a Links,
-    /// The process.
+    /// The process's own entry.
     pub member: &'a Member,
-    /// All processes.
+    /// All members of the fleet.
     pub members: &'a [Member],
-    /// Its directory.
+    /// Working directory of the process.
     pub disk: &'a Path,
 }
 
 impl Site<'_> {
-    /// The address at which this process reaches an end, through the relay.
+    /// Returns the relay's address at which this process reaches an end.
     ///
     /// # Errors
     ///
-    /// When no descriptor or port is left.
+    /// Fails when no descriptor or port is available.
     pub fn address(&self, end: &str) -> io::Result<SocketAddr> {
         self.links.address(&self.member.name, end)
     }
 
-    /// The other processes.
+    /// Returns the other members.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|other| *other != self.member)
     }
 }
 
-/// Processes that run. They end with this value.
+/// Running processes. They are killed when this value is dropped.
 pub struct Fleet {
     members: Vec<Member>,
-    /// The processes, in the order of the members.
+    /// Processes, in the order of the members.
     pub processes: Vec<Process>,
     ready: Vec<Ready>,
     folder: PathBuf,
@@ -77,21 +78,23 @@
 }
 
 impl Fleet {
-    /// Starts all at once and returns when all are ready. Each listens on a port of the system; the others know
-    /// only the relay's address for it, and reach it from when it is ready. What it listens on first is the end
-    /// of its name, a second listener is `name/1` and on, and `name/control` its control port.
+    /// Starts all processes at once and returns when all are ready. Each listens on a port chosen by the
+    /// system; the others know only the relay's address for it, and reach it once it is ready. The first
+    /// listener is the end with the process's name, further ones are `name/1` and so on, and the control port
+    /// is `name/control`.
     ///
     /// # Errors
     ///
-    /// When one can't be started or ends before it is ready, with the end of its log.
+    /// Fails when a process can't be started or ends before it is ready, with the end of its log in the
+    /// error.
     pub fn start(
         links: &Links,
         plan: FleetPlan,
         mut settings: impl FnMut(&Site) -> io::Result<String>,
     ) -> io::Result<Fleet> {
         let FleetPlan { program, members, folder } = plan;
-        if members.len() > MOST {
-            return Err(io::Error::other(format!("{} processes, at most {MOST}", members.len())));
+        if members.len() > MAX_PROCESSES {
+            return Err(io::Error::other(format!("{} processes, at most {MAX_PROCESSES}", members.len())));
         }
         let mut fleet = Fleet { members, processes: Vec::new(), ready: Vec::new(), folder, keep: false };
         for member in &fleet.members {
@@ -106,53 +109,54 @@
         Ok(fleet)
     }
 
-    /// Waits until a process is ready that was started again by itself, and leads its links to it.
+    /// Waits until a process is ready and points the relay's links at its addresses. Needed for a process
+    /// that was restarted without [`Fleet::restart`].
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start`].
+    /// Fails as [`Fleet::start`] does.
     pub fn greet(&mut self, links: &Links, at: usize) -> io::Result<()> {
-        let Some((process, kept)) = self.processes.get(at).zip(self.ready.get_mut(at)) else {
+        let Some((process, stored)) = self.processes.get(at).zip(self.ready.get_mut(at)) else {
             return Err(io::Error::other(format!("no process {at}")));
         };
-        *kept = process.ready()?;
-        for (number, address) in kept.listening.iter().enumerate() {
+        *stored = process.ready()?;
+        for (number, address) in stored.listening.iter().enumerate() {
             let name = process.name();
             let end = if number == 0 { name.to_owned() } else { format!("{name}/{number}") };
             links.set_target(&end, *address)?;
         }
-        if let Some(control) = kept.control {
+        if let Some(control) = stored.control {
             links.set_target(&format!("{}/control", process.name()), control)?;
         }
         Ok(())
     }
 
-    /// Leaves settings, disks and logs where they are.
+    /// Keeps settings, disks and logs when the fleet ends, and returns their folder.
     pub fn keep(&mut self) -> &Path {
         self.keep = true;
         &self.folder
     }
 
-    /// The members, in the order of the processes.
+    /// Returns the members, in the order of the processes.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// Names of the processes of a zone.
+    /// Returns the names of the processes in a zone.
     pub fn of_zone(&self, zone: &str) -> Vec<&str> {
         self.members.iter().filter(|member| member.zone == zone).map(|member| &*member.name).collect()
     }
 
-    /// Where a process really is, past the relay.
+    /// Returns the addresses of a process itself, not those of the relay.
     pub fn ready(&self, at: usize) -> Option<&Ready> {
         self.ready.get(at)
     }
 
-    /// Connects to the control port of a process, past the relay.
+    /// Connects to the control port of a process directly, without the relay.
     ///
     /// # Errors
     ///
-    /// When it has none or doesn't listen.
+    /// Fails when the process has no control port or does not listen on it.
     pub fn control(&self, at: usize) -> io::Result<Control> {
         let address = self.ready.get(at).and_then(|ready| ready.control);
         Control::connect(
@@ -160,11 +164,11 @@
         )
     }
 
-    /// Starts a process again and returns when it is ready; its links lead to it then, wherever it listens.
+    /// Restarts a process and returns when it is ready and the relay's links point at its new addresses.
     ///
     /// # Errors
     ///
-    /// As [`Fleet::start`].
+    /// Fails as [`Fleet::start`] does.
     pub fn restart(&mut self, links: &Links, at: usize, disk: Disk) -> io::Result<()> {
         self.processes
             .get_mut(at)
--- a/crates/lemoncleat-lab/src/stage/links.rs
+++ b/crates/lemoncleat-lab/src/stage/links.rs
@@ -1,4 +1,4 @@
-//! Links between named ends, through the laboratory's relay.
+//! Links between named ends through the relay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,23 +10,24 @@
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit};
 
 use super::relay::{Cut, Job, Relay, Rule, Traffic, WAKE};
-use super::{late, LIMIT};
+use super::{timed_out, LIMIT};
 use crate::Micros;
 
-/// Something that is set for some links until it is ended.
+/// Handle of a rule that applies to some links until it is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "it lasts until it is ended or all is healed"]
 pub struct Trouble(u64);
 
-/// All links of a stage: one thread that listens for each pair (who dials, whom) and forwards to where the end
-/// really is.
+/// All links of a test bed. One thread listens on an address for each pair of dialling and dialled end and
+/// forwards connections to the dialled end's target address.
 ///
-/// An end is a name. `n1/control` is a second port of the machine `n1`: whatever is set for `n1` holds for it too.
-/// Orders are in force when the call returns, and may overlap: the longest delay counts, and [`Cut::Lost`] more
-/// than [`Cut::Late`]. Delays are kept to about a millisecond, that of the system's timers.
+/// An end is a name. `n1/control` is a second port of the machine `n1`, and rules for `n1` apply to it too. A
+/// rule is in force when the call that sets it returns. Rules may overlap: the longest delay applies, and
+/// [`Cut::Lost`] takes precedence over [`Cut::Late`]. Delays are accurate to about a millisecond, the
+/// resolution of the system's timers.
 ///
-/// As with TCP, a cut in either direction keeps new connections from being opened: the dialler's is accepted by
-/// the relay and stays silent. So it is while an end has no target yet.
+/// As with TCP, a cut in either direction prevents new connections: the relay accepts the dialler's
+/// connection, which stays silent. The same holds while an end has no target yet.
 pub struct Links {
     jobs: Sender<Job>,
     waker: Arc<Waker>,
@@ -34,15 +35,15 @@
 }
 
 impl Links {
-    /// Starts the relay, and raises the process's limit of descriptors as far as it may: each pair costs one, each
-    /// connection two.
+    /// Starts the relay and raises the process's descriptor limit to the hard limit: each pair needs one
+    /// descriptor, each connection two.
     ///
     /// # Errors
     ///
-    /// When no thread or descriptor is to be had.
+    /// Fails when no thread or descriptor is available.
     pub fn new() -> io::Result<Links> {
         let limit = getrlimit(Resource::Nofile);
-        // What can't be raised is met as an error where descriptors run out.
+        // If the limit can't be raised, running out of descriptors is reported as an error later.
         let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
         let poll = Poll::new()?;
         let waker = Arc::new(Waker::new(poll.registry(), WAKE)?);
@@ -53,169 +54,174 @@
         Ok(Links { jobs, waker, thread: Some(thread) })
     }
 
-    fn with<R: Send + 'static>(&self, job: impl FnOnce(&mut Relay) -> R + Send + 'static) -> io::Result<R> {
+    fn run_in_relay<R: Send + 'static>(
+        &self,
+        job: impl FnOnce(&mut Relay) -> R + Send + 'static,
+    ) -> io::Result<R> {
         let (sender, receiver) = channel();
-        let gone = || io::Error::other("the relay has ended");
+        let ended = || io::Error::other("the relay has ended");
         self.jobs
             .send(Box::new(move |relay| {
                 let _ = sender.send(job(relay));
             }))
-            .map_err(|_| gone())?;
+            .map_err(|_| ended())?;
         self.waker.wake()?;
-        receiver.recv_timeout(LIMIT).map_err(|_| gone())
+        receiver.recv_timeout(LIMIT).map_err(|_| ended())
     }
 
-    /// The address at which `from` reaches `to`. Each pair has its own, allocated when it is first asked for.
+    /// Returns the address at which `from` reaches `to`. Each pair has its own, allocated at the first
+    /// request.
     ///
     /// # Errors
     ///
-    /// When no descriptor or port is left.
+    /// Fails when no descriptor or port is available.
     pub fn address(&self, from: &str, to: &str) -> io::Result<SocketAddr> {
         let (from, to) = (from.to_owned(), to.to_owned());
-        self.with(move |relay| relay.address(&from, &to))?
+        self.run_in_relay(move |relay| relay.address(&from, &to))?
     }
 
-    /// Where the end really is, from now on. Standing connections stay.
+    /// Sets the address to which new connections to an end are forwarded. Established connections stay.
     ///
     /// # Errors
     ///
-    /// When the relay has ended, as for all orders below.
+    /// Fails when the relay has ended.
     pub fn set_target(&self, end: &str, address: SocketAddr) -> io::Result<()> {
         let end = end.to_owned();
-        self.with(move |relay| relay.set_target(&end, address))
+        self.run_in_relay(move |relay| relay.set_target(&end, address))
     }
 
-    /// Bytes from `a` to `b` arrive this much later, in order.
+    /// Delays bytes from `a` to `b` by a time in microseconds. They stay in order.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn delay(&self, a: &[&str], b: &[&str], delay: Micros) -> io::Result<Trouble> {
-        self.between(a, b, move |a, b| Rule::Delay(a, b, delay))
+        self.add_between(a, b, move |a, b| Rule::Delay(a, b, delay))
     }
 
-    /// Bytes from `a` to `b` wait: [`Cut::Late`].
+    /// Holds bytes from `a` to `b` back until the rule ends: [`Cut::Late`].
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn hold(&self, a: &[&str], b: &[&str]) -> io::Result<Trouble> {
         self.cut(a, b, Cut::Late)
     }
 
-    /// Nothing from `a` arrives at `b`, while the way back stays as it is.
+    /// Cuts the direction from `a` to `b`. The reverse direction is not affected.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn cut(&self, a: &[&str], b: &[&str], cut: Cut) -> io::Result<Trouble> {
-        self.between(a, b, move |a, b| Rule::Cut(a, b, cut))
+        self.add_between(a, b, move |a, b| Rule::Cut(a, b, cut))
     }
 
-    /// New connections from `a` to `b` are reset at once. Standing ones stay.
+    /// Resets new connections from `a` to `b` at once. Established ones stay.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn refuse(&self, a: &[&str], b: &[&str]) -> io::Result<Trouble> {
-        self.between(a, b, Rule::Refuse)
+        self.add_between(a, b, Rule::Refuse)
     }
 
-    /// Nothing that the machine sends arrives anywhere (`out`), nothing arrives at it (`inward`), or both.
+    /// Cuts everything that a machine sends (`out`), everything sent to it (`inward`), or both.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn alone(&self, machine: &str, out: bool, inward: bool, cut: Cut) -> io::Result<Trouble> {
         let name = machine.to_owned();
-        self.with(move |relay| {
+        self.run_in_relay(move |relay| {
             let machine = relay.machine(&name);
             Trouble(relay.add(Rule::Alone { machine, out, inward, cut }))
         })
     }
 
-    /// Nothing passes between ends of different groups. Ends of no group reach all.
+    /// Cuts all traffic between ends of different groups. Ends that are in no group reach all others.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn partition(&self, groups: &[&[&str]], cut: Cut) -> io::Result<Trouble> {
-        let groups: Vec<Vec<String>> = groups.iter().map(|group| owned(group)).collect();
-        self.with(move |relay| {
+        let groups: Vec<Vec<String>> = groups.iter().map(|group| to_strings(group)).collect();
+        self.run_in_relay(move |relay| {
             let groups = groups.iter().map(|group| machines(relay, group)).collect();
             Trouble(relay.add(Rule::Partition(groups, cut)))
         })
     }
 
-    /// Ends what was set.
+    /// Ends a rule.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn end(&self, trouble: Trouble) -> io::Result<()> {
-        self.with(move |relay| relay.end(trouble.0))
+        self.run_in_relay(move |relay| relay.end(trouble.0))
     }
 
-    /// Ends all but delays, which belong to the links and not to a trouble.
+    /// Ends all rules except delays, which are a property of the links and not a fault.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn heal(&self) -> io::Result<()> {
-        self.with(Relay::heal)
+        self.run_in_relay(Relay::heal)
     }
 
-    /// Resets all connections between `a` and `b`, whoever opened them, cut or not; returns how many.
+    /// Resets all connections between `a` and `b`, whichever side opened them and whether cut or not. Returns
+    /// their number.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn reset(&self, a: &[&str], b: &[&str]) -> io::Result<u64> {
-        let (a, b) = (owned(a), owned(b));
-        self.with(move |relay| {
+        let (a, b) = (to_strings(a), to_strings(b));
+        self.run_in_relay(move |relay| {
             let (a, b) = (machines(relay, &a), machines(relay, &b));
             relay.reset(&a, &b)
         })
     }
 
-    /// What the direction from one machine to another has carried.
+    /// Returns the traffic counters of the direction from one machine to another.
     ///
     /// # Errors
     ///
-    /// When the relay has ended.
+    /// Fails when the relay has ended.
     pub fn traffic(&self, from: &str, to: &str) -> io::Result<Traffic> {
         let (from, to) = (from.to_owned(), to.to_owned());
-        self.with(move |relay| relay.traffic(&from, &to))
+        self.run_in_relay(move |relay| relay.traffic(&from, &to))
     }
 
-    /// Waits until the traffic from one machine to another is as wanted.
+    /// Waits until the traffic from one machine to another satisfies a condition.
     ///
     /// # Errors
     ///
-    /// When it doesn't come within [`LIMIT`].
+    /// Fails when the condition is not met within [`LIMIT`].
     pub fn wait(
         &self,
         from: &str,
         to: &str,
-        mut wanted: impl FnMut(&Traffic) -> bool + Send + 'static,
+        mut condition: impl FnMut(&Traffic) -> bool + Send + 'static,
     ) -> io::Result<()> {
         let what = format!("traffic from {from} to {to}");
         let (from, to) = (from.to_owned(), to.to_owned());
         let (sender, receiver) = channel();
-        self.with(move |relay| {
-            relay.wait(Box::new(move |relay| wanted(&relay.traffic(&from, &to))), sender);
+        self.run_in_relay(move |relay| {
+            relay.wait(Box::new(move |relay| condition(&relay.traffic(&from, &to))), sender);
         })?;
-        receiver.recv_timeout(LIMIT).map_err(|_| late(&what))
+        receiver.recv_timeout(LIMIT).map_err(|_| timed_out(&what))
     }
 
-    fn between(
+    fn add_between(
         &self,
         a: &[&str],
         b: &[&str],
         rule: impl FnOnce(Vec<usize>, Vec<usize>) -> Rule + Send + 'static,
     ) -> io::Result<Trouble> {
-        let (a, b) = (owned(a), owned(b));
-        self.with(move |relay| {
+        let (a, b) = (to_strings(a), to_strings(b));
+        self.run_in_relay(move |relay| {
             let (a, b) = (machines(relay, &a), machines(relay, &b));
             Trouble(relay.add(rule(a, b)))
         })
@@ -232,7 +238,7 @@
     }
 }
 
-fn owned(names: &[&str]) -> Vec<String> {
+fn to_strings(names: &[&str]) -> Vec<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
--- a/crates/lemoncleat-lab/src/stage/points.rs
+++ b/crates/lemoncleat-lab/src/stage/points.rs
@@ -1,4 +1,4 @@
-//! The stage's end of the numbered points: `lemoncleat_faults` describes the lines.
+//! Server for the fault points of processes. `lemoncleat_faults` describes the line protocol.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -10,42 +10,42 @@
 
 use lemoncleat_faults::{find, Fault, Point, STAGE_VARIABLE};
 
-use super::{late, Cut, Links, Process, Trouble, LIMIT};
+use super::{timed_out, Cut, Links, Process, Trouble, LIMIT};
 
-/// Longest line taken from a process.
-const LONGEST: u64 = 64 * 1024;
-/// Points reached that may wait to be looked at; a process armed more often than that is not heard.
-const QUEUE: usize = 1_024;
+/// Maximum length of a line from a process.
+const MAX_LINE_BYTES: u64 = 64 * 1024;
+/// Maximum number of unread reports of each kind per process; further ones are discarded.
+const MAX_UNREAD_REPORTS: usize = 1_024;
 
-/// A process that stands at a point, or whose operation fails there.
+/// Report that a process has reached an armed point, where it waits or its operation fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reached {
-    /// Where.
+    /// Point that was reached.
     pub point: &'static Point,
-    /// What it was armed with. With [`Fault::Error`] it has already gone on.
+    /// Fault with which the point was armed. With [`Fault::Error`] the process has already continued.
     pub fault: Fault,
 }
 
 #[derive(Default)]
-struct Seen {
+struct Connection {
     line: Option<TcpStream>,
-    /// `armed ...` or `unknown ...`, in the order of the orders.
+    /// Answers `armed ...` and `unknown ...`, in the order of the requests.
     answers: VecDeque<String>,
     reached: VecDeque<Reached>,
     passes: VecDeque<BTreeMap<String, u64>>,
-    gone: bool,
+    closed: bool,
 }
 
 #[derive(Default)]
 struct Shared {
-    seen: Mutex<BTreeMap<u32, Seen>>,
+    connections: Mutex<BTreeMap<u32, Connection>>,
     change: Condvar,
     stopped: AtomicBool,
-    /// Processes that report are kept from starting.
-    holds: AtomicBool,
+    /// Set while processes that connect are kept from starting.
+    hold: AtomicBool,
 }
 
-/// Where processes with numbered points report. A process finds it by [`Points::variable`].
+/// Server to which processes with fault points report. A process finds it through [`Points::variable`].
 pub struct Points {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -53,11 +53,11 @@
 }
 
 impl Points {
-    /// Listens.
+    /// Starts listening on a local port.
     ///
     /// # Errors
     ///
-    /// When no socket or thread is to be had.
+    /// Fails when no socket or thread is available.
     pub fn listen() -> io::Result<Points> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -71,36 +71,36 @@
                     }
                     let Ok(stream) = stream else { continue };
                     let shared = shared.clone();
-                    // Without a thread the process is not heard, and whoever waits for it says so.
+                    // Without a thread the process is not served, and a wait for it times out.
                     let _ = std::thread::Builder::new()
                         .name("points".to_owned())
-                        .spawn(move || shared.attend(stream));
+                        .spawn(move || shared.serve(stream));
                 }
             }
         })?;
         Ok(Points { address, shared, thread: Some(thread) })
     }
 
-    /// What a process needs in its environment to report here.
+    /// Returns the environment variable that makes a process report here.
     pub fn variable(&self) -> (String, String) {
         (STAGE_VARIABLE.to_owned(), self.address.to_string())
     }
 
-    /// Whether processes that report from now on wait until [`Points::go`] lets them start, for points that are
-    /// passed at a start.
-    pub fn hold_starts(&self, holds: bool) {
-        self.shared.holds.store(holds, Ordering::SeqCst);
+    /// Sets whether processes that connect from now on wait at their start until [`Points::go`]. This allows
+    /// points that are passed during start-up to be armed.
+    pub fn hold_starts(&self, hold: bool) {
+        self.shared.hold.store(hold, Ordering::SeqCst);
     }
 
-    /// The pass of the point after `skip` further ones meets the fault.
+    /// Arms a point: `skip` further passes are unaffected and the next one triggers the fault.
     ///
     /// # Errors
     ///
-    /// When the process doesn't know the point, is not there, or on [`LIMIT`].
+    /// Fails when the process does not know the point or is not connected, or after [`LIMIT`].
     pub fn arm(&self, process: &Process, point: &Point, skip: u32, fault: Fault) -> io::Result<()> {
-        let id = id(process)?;
-        self.say(id, &format!("arm {} {skip} {}", point.name, fault.name()))?;
-        let answer = self.wait(id, "an answer to arm", |seen| seen.answers.pop_front())?;
+        let id = process_id(process)?;
+        self.send(id, &format!("arm {} {skip} {}", point.name, fault.name()))?;
+        let answer = self.wait(id, "an answer to arm", |connection| connection.answers.pop_front())?;
         if answer == format!("armed {}", point.name) {
             Ok(())
         } else {
@@ -112,57 +112,63 @@
     ///
     /// # Errors
     ///
-    /// When it ended before, or on [`LIMIT`].
+    /// Fails when the process ends before, or after [`LIMIT`].
     pub fn wait_reached(&self, process: &Process) -> io::Result<Reached> {
-        self.wait(id(process)?, "an armed point", |seen| seen.reached.pop_front())
+        self.wait(process_id(process)?, "an armed point", |connection| connection.reached.pop_front())
     }
 
-    /// An armed point that the process has reached, without waiting.
+    /// Returns an armed point that the process has reached, without waiting.
     pub fn reached(&self, process: &Process) -> Option<Reached> {
         self.shared.lock().get_mut(&process.id()?)?.reached.pop_front()
     }
 
-    /// Lets the process go on from a point, or start.
+    /// Lets the process continue from a point, or start.
     ///
     /// # Errors
     ///
-    /// When it is not there.
+    /// Fails when the process is not connected.
     pub fn go(&self, process: &Process) -> io::Result<()> {
-        self.say(id(process)?, "go")
+        self.send(process_id(process)?, "go")
     }
 
-    /// How often the process has passed each point, by name.
+    /// Returns how often the process has passed each point, by name.
     ///
     /// # Errors
     ///
-    /// When it is not there, or on [`LIMIT`].
+    /// Fails when the process is not connected, or after [`LIMIT`].
     pub fn passes(&self, process: &Process) -> io::Result<BTreeMap<String, u64>> {
-        let id = id(process)?;
-        self.say(id, "passes")?;
-        self.wait(id, "passes", |seen| seen.passes.pop_front())
+        let id = process_id(process)?;
+        self.send(id, "passes")?;
+        self.wait(id, "passes", |connection| connection.passes.pop_front())
     }
 
-    fn say(&self, id: u32, order: &str) -> io::Result<()> {
-        let mut line =
-            self.wait(id, "a process to report", |seen| seen.line.as_ref().map(TcpStream::try_clone))??;
+    fn send(&self, id: u32, order: &str) -> io::Result<()> {
+        let mut line = self.wait(id, "a process to report", |connection| {
+            connection.line.as_ref().map(TcpStream::try_clone)
+        })??;
         writeln!(line, "{order}")
     }
 
-    fn wait<R>(&self, id: u32, what: &str, mut take: impl FnMut(&mut Seen) -> Option<R>) -> io::Result<R> {
+    fn wait<R>(
+        &self,
+        id: u32,
+        what: &str,
+        mut take: impl FnMut(&mut Connection) -> Option<R>,
+    ) -> io::Result<R> {
         let mut taken = None;
         let (mut all, _) = self
             .shared
             .change
             .wait_timeout_while(self.shared.lock(), LIMIT, |all| {
-                let seen = all.entry(id).or_default();
-                taken = take(seen);
-                taken.is_none() && !seen.gone
+                let connection = all.entry(id).or_default();
+                taken = take(connection);
+                taken.is_none() && !connection.closed
             })
             .unwrap_or_else(PoisonError::into_inner);
-        let gone = all.entry(id).or_default().gone;
-        taken.ok_or_else(|| match gone {
+        let closed = all.entry(id).or_default().closed;
+        taken.ok_or_else(|| match closed {
             true => io::Error::new(io::ErrorKind::UnexpectedEof, format!("{what}: the process ended")),
-            false => late(what),
+            false => timed_out(what),
         })
     }
 }
@@ -174,9 +180,9 @@
         if let Some(thread) = self.thread.take().filter(|_| woken) {
             let _ = thread.join();
         }
-        // A process that loses its stage goes on; its thread here ends with it.
-        for seen in self.shared.lock().values() {
-            if let Some(line) = &seen.line {
+        // A process that loses this connection continues; the thread that served it ends.
+        for connection in self.shared.lock().values() {
+            if let Some(line) = &connection.line {
                 let _ = line.shutdown(std::net::Shutdown::Both);
             }
         }
@@ -184,83 +190,85 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<u32, Seen>> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, BTreeMap<u32, Connection>> {
+        self.connections.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn attend(&self, stream: TcpStream) {
+    fn serve(&self, stream: TcpStream) {
         let Ok(mut lines) = stream.try_clone().map(BufReader::new) else { return };
         let mut stream = Some(stream);
         let mut id = None;
         loop {
             let mut line = String::new();
-            if !matches!((&mut lines).take(LONGEST).read_line(&mut line), Ok(1..)) {
+            if !matches!((&mut lines).take(MAX_LINE_BYTES).read_line(&mut line), Ok(1..)) {
                 break;
             }
             let words: Vec<&str> = line.split_whitespace().collect();
             let mut all = self.lock();
             if let ["here", number] = words[..] {
                 id = number.parse::<u32>().ok();
-                if let (Some(line), false) = (&mut stream, self.holds.load(Ordering::SeqCst)) {
-                    // One that is gone already is noticed by the next read.
+                if let (Some(line), false) = (&mut stream, self.hold.load(Ordering::SeqCst)) {
+                    // If the connection is already closed, the next read reports it.
                     let _ = writeln!(line, "go");
                 }
                 if let Some(id) = id {
-                    // A number may come again with another process.
-                    all.insert(id, Seen { line: stream.take(), ..Seen::default() });
+                    // Replaces the entry of an earlier process with the same process id.
+                    all.insert(id, Connection { line: stream.take(), ..Connection::default() });
                 }
             }
-            let Some(seen) = id.and_then(|id| all.get_mut(&id)) else { continue };
+            let Some(connection) = id.and_then(|id| all.get_mut(&id)) else { continue };
             match words[..] {
-                ["armed" | "unknown", ..] if seen.answers.len() < QUEUE => {
-                    seen.answers.push_back(words.join(" "));
+                ["armed" | "unknown", ..] if connection.answers.len() < MAX_UNREAD_REPORTS => {
+                    connection.answers.push_back(words.join(" "));
                 }
-                ["reached", point, fault] if seen.reached.len() < QUEUE => {
+                ["reached", point, fault] if connection.reached.len() < MAX_UNREAD_REPORTS => {
                     if let Some((point, fault)) = find(point).zip(Fault::of_name(fault)) {
-                        seen.reached.push_back(Reached { point, fault });
+                        connection.reached.push_back(Reached { point, fault });
                     }
                 }
-                ["passes", ref counts @ ..] if seen.passes.len() < QUEUE => {
+                ["passes", ref counts @ ..] if connection.passes.len() < MAX_UNREAD_REPORTS => {
                     let count = |word: &&str| {
                         let (name, count) = word.split_once('=')?;
                         Some((name.to_owned(), count.parse().ok()?))
                     };
-                    seen.passes.push_back(counts.iter().filter_map(count).collect());
+                    connection.passes.push_back(counts.iter().filter_map(count).collect());
                 }
                 _ => {}
             }
             self.change.notify_all();
         }
         let mut all = self.lock();
-        if let Some(seen) = id.and_then(|id| all.get_mut(&id)) {
-            seen.gone = true;
+        if let Some(connection) = id.and_then(|id| all.get_mut(&id)) {
+            connection.closed = true;
         }
         self.change.notify_all();
     }
 }
 
-fn id(process: &Process) -> io::Result<u32> {
+fn process_id(process: &Process) -> io::Result<u32> {
     process
         .id()
         .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, format!("{} does not run", process.name())))
 }
 
-/// Does to a process that stands at a point what the fault is, and returns when it is over. How long it lasts is
-/// `meanwhile`: a [`span`], or a wait for what the others are to notice.
+/// Carries out a fault on a process that waits at a point, and returns when the fault is over. The fault
+/// lasts as long as `meanwhile` runs: a [`span`], or a wait until the other processes have reacted.
 ///
-/// | fault | course |
+/// | fault | effect |
 /// | --- | --- |
-/// | kill | ended by SIGKILL at the point, then `meanwhile`; whether it starts again is the scenario's |
-/// | error | nothing more: its operation has failed already |
-/// | pause | all its threads stopped during `meanwhile`, then let go on from the point |
-/// | cut, cut-out, cut-in | links cut, let go on from the point, healed after `meanwhile` |
+/// | kill | killed by SIGKILL at the point, then `meanwhile`; the caller decides whether it is restarted |
+/// | error | nothing more: the operation has already failed |
+/// | pause | all threads are stopped during `meanwhile`, then the process continues from the point |
+/// | cut, cut-out, cut-in | links are cut, the process continues, links heal after `meanwhile` |
 ///
-/// A cut is to `others`, or to everybody when that is empty. Bytes come [late](Cut::Late) after it: words that
-/// arrive when all has changed are harder than lost ones.
+/// A cut applies to the links with `others`, or with all when that is empty. Bytes are delivered
+/// [late](Cut::Late) after it: outdated messages that arrive in a changed state are a harder test than lost
+/// ones.
 ///
 /// # Errors
 ///
-/// When the process is gone, the relay ended, or `meanwhile` fails; the process goes on and links are healed.
+/// Fails when the process or the relay has ended, or `meanwhile` fails. In the last case the process still
+/// continues and links are healed.
 pub fn carry_out(
     process: &mut Process,
     fault: Fault,
@@ -291,7 +299,7 @@
     }
 }
 
-/// A fault's length, for [`carry_out`].
+/// Returns a `meanwhile` for [`carry_out`] that lasts a fixed time.
 pub fn span(length: Duration) -> impl FnOnce() -> io::Result<()> {
     move || {
         std::thread::sleep(length);
--- a/crates/lemoncleat-lab/src/stage/process.rs
+++ b/crates/lemoncleat-lab/src/stage/process.rs
@@ -1,4 +1,4 @@
-//! A program started from its binary.
+//! Processes started from a binary.
 
 use std::fs::{self, OpenOptions};
 use std::io::{self, Write};
@@ -11,26 +11,27 @@
 
 use super::lines::Lines;
 
-/// Lines of the log that an error shows.
-const SHOWN: usize = 10;
+/// Number of log lines included in an error.
+const LOG_LINES_IN_ERROR: usize = 10;
 
 /// How a process is started.
 #[derive(Clone, Debug, Default)]
 pub struct Program {
-    /// The binary.
+    /// Path of the binary.
     pub path: PathBuf,
-    /// Its arguments; `{settings}` and `{disk}` stand for the process's file and directory.
+    /// Arguments. `{settings}` and `{disk}` are replaced by the paths of the settings file and the working
+    /// directory.
     pub arguments: Vec<String>,
-    /// Variables added to its environment.
+    /// Variables added to the environment.
     pub environment: Vec<(String, String)>,
-    /// Lines `listening on ADDRESS` that it writes to standard output when it is ready.
+    /// Number of lines `listening on ADDRESS` that the process writes to standard output when it is ready.
     pub listens: usize,
-    /// It writes `control on ADDRESS` after them.
+    /// Whether it writes `control on ADDRESS` after them.
     pub control: bool,
 }
 
 impl Program {
-    /// A node of the product, with one listener and a control port.
+    /// Returns the program of a product node with one listener and a control port.
     pub fn node(binary: &Path) -> Program {
         Program {
             path: binary.to_owned(),
@@ -42,25 +43,25 @@
     }
 }
 
-/// Where a process that is ready can be reached.
+/// Addresses of a process that is ready.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// What it listens on, in the order in which it said so.
+    /// Listening addresses, in the order in which the process reported them.
     pub listening: Vec<SocketAddr>,
-    /// Its control port.
+    /// Address of the control port.
     pub control: Option<SocketAddr>,
 }
 
-/// What a process finds of its disk when it is started again.
+/// State of a process's disk at a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disk {
-    /// All that it wrote.
+    /// The disk is kept.
     Kept,
-    /// Nothing.
+    /// The disk is empty.
     Lost,
 }
 
-/// One process. It ends with this value.
+/// A process. It is killed when this value is dropped.
 pub struct Process {
     name: String,
     program: Program,
@@ -69,44 +70,42 @@
     paused: bool,
     output: Arc<Lines>,
     log: Arc<Lines>,
-    /// Lines of output before this run.
-    begun: usize,
-    /// It takes orders on its standard input.
+    /// Number of output lines before this run.
+    run_start_line: usize,
+    /// Whether it takes orders on its standard input.
     ordered: bool,
     orders: Option<ChildStdin>,
-    /// Lines of output that were heard as answers, over all runs.
-    heard: usize,
+    /// Number of output lines already returned as answers, over all runs.
+    answers_read: usize,
 }
 
 impl Process {
-    /// Starts it, with a settings file `settings`, a directory `disk` of its own in which it runs, and a copy
-    /// of
-    /// its standard error in `log`, all in the folder.
+    /// Starts a process. The folder receives the settings file `settings`, the working directory `disk`, and
+    /// `log`, a copy of the standard error.
     ///
     /// # Errors
     ///
-    /// When the folder can't be written or the binary not started.
+    /// Fails when the folder can't be written or the binary can't be started.
     pub fn start(name: &str, program: &Program, folder: &Path, settings: &str) -> io::Result<Process> {
-        Process::begin(name, program, folder, settings, false)
+        Process::start_with(name, program, folder, settings, false)
     }
 
-    /// As [`Process::start`], for one that takes orders on its standard input ([`Process::say`]) and ends
-    /// when that
-    /// closes.
+    /// Starts a process like [`Process::start`], one that takes orders on its standard input
+    /// ([`Process::say`]) and ends when that closes.
     ///
     /// # Errors
     ///
-    /// As [`Process::start`].
+    /// Fails as [`Process::start`] does.
     pub fn start_ordered(
         name: &str,
         program: &Program,
         folder: &Path,
         settings: &str,
     ) -> io::Result<Process> {
-        Process::begin(name, program, folder, settings, true)
+        Process::start_with(name, program, folder, settings, true)
     }
 
-    fn begin(
+    fn start_with(
         name: &str,
         program: &Program,
         folder: &Path,
@@ -122,10 +121,10 @@
             paused: false,
             output: Arc::default(),
             log: Arc::default(),
-            begun: 0,
+            run_start_line: 0,
             ordered,
             orders: None,
-            heard: 0,
+            answers_read: 0,
         };
         process.set_settings(settings)?;
         process.spawn()?;
@@ -155,11 +154,11 @@
             })?;
         self.orders = child.stdin.take();
         let (output, errors) = (child.stdout.take(), child.stderr.take());
-        // Held from here on, so that it ends even if what follows fails.
+        // Stored before the next steps, so that the process is killed even if one of them fails.
         self.child = Some(child);
         self.paused = false;
-        self.begun = self.output.count();
-        self.heard = self.begun;
+        self.run_start_line = self.output.count();
+        self.answers_read = self.run_start_line;
         let copy = OpenOptions::new().create(true).append(true).open(self.folder.join("log"))?;
         if let Some(errors) = errors {
             self.log.read(&self.name, errors, Some(copy))?;
@@ -170,40 +169,41 @@
         Ok(())
     }
 
-    /// Its name, which is also that of its end in [`Links`](super::Links).
+    /// Returns the process's name, which is also the name of its end in [`Links`](super::Links).
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its number while it runs.
+    /// Returns the process id while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// The directory that it runs in.
+    /// Returns the working directory.
     pub fn disk(&self) -> PathBuf {
         self.folder.join("disk")
     }
 
-    /// The copy of its standard error, over all runs.
+    /// Returns the path of the copy of its standard error, over all runs.
     pub fn log_file(&self) -> PathBuf {
         self.folder.join("log")
     }
 
-    /// Writes the settings that its next start, or a reload, finds.
+    /// Writes the settings for the next start or reload.
     ///
     /// # Errors
     ///
-    /// When the file can't be written.
+    /// Fails when the file can't be written.
     pub fn set_settings(&self, settings: &str) -> io::Result<()> {
         fs::write(self.folder.join("settings"), settings)
     }
 
-    /// Waits until it has said all addresses that its [`Program`] promises.
+    /// Waits until the process has reported all addresses that its [`Program`] announces.
     ///
     /// # Errors
     ///
-    /// When it ended before (with the end of its log), or on [`LIMIT`](super::LIMIT).
+    /// Fails when the process ends before, with the end of its log in the error, or after
+    /// [`LIMIT`](super::LIMIT).
     pub fn ready(&self) -> io::Result<Ready> {
         let mut ready = Ready::default();
         let (listens, control) = (self.program.listens, self.program.control);
@@ -211,7 +211,7 @@
             return Ok(ready);
         }
         let what = format!("{} ready", self.name);
-        let found = self.output.wait(&what, self.begun, |line| {
+        let found = self.output.wait(&what, self.run_start_line, |line| {
             let after = |start| line.strip_prefix(start).and_then(|text| text.parse().ok());
             ready.listening.extend(after("listening on "));
             ready.control = ready.control.or(after("control on "));
@@ -223,60 +223,60 @@
 
     fn with_log(&self, error: &io::Error) -> io::Error {
         if error.kind() == io::ErrorKind::UnexpectedEof {
-            // What it said last is read to the end first. A limit met here changes nothing of the error.
+            // Reads the log to its end first. A time-out here does not change the error.
             let _ = self.log.wait_closed(&self.name);
         }
-        io::Error::new(error.kind(), format!("{error}{}", self.log.last(SHOWN)))
+        io::Error::new(error.kind(), format!("{error}{}", self.log.last(LOG_LINES_IN_ERROR)))
     }
 
-    /// Lines of its log so far, over all runs: a mark for [`Process::wait_for_log`].
+    /// Returns the number of log lines so far, over all runs, as a position for [`Process::wait_for_log`].
     pub fn log_lines(&self) -> usize {
         self.log.count()
     }
 
-    /// Waits for a line of its log, the first that fits after a mark.
+    /// Waits for the first log line that fits, from line number `since` on.
     ///
     /// # Errors
     ///
-    /// When it ended without, or on [`LIMIT`](super::LIMIT).
+    /// Fails when the process ends without such a line, or after [`LIMIT`](super::LIMIT).
     pub fn wait_for_log(&self, since: usize, fits: impl FnMut(&str) -> bool) -> io::Result<String> {
         self.log
             .wait(&format!("a line in the log of {}", self.name), since, fits)
             .map_err(|error| self.with_log(&error))
     }
 
-    /// Waits for a line of this run's standard output.
+    /// Waits for the first line of this run's standard output that fits.
     ///
     /// # Errors
     ///
-    /// As [`Process::wait_for_log`].
+    /// Fails as [`Process::wait_for_log`] does.
     pub fn wait_for_output(&self, fits: impl FnMut(&str) -> bool) -> io::Result<String> {
         self.output
-            .wait(&format!("a line of {}", self.name), self.begun, fits)
+            .wait(&format!("a line of {}", self.name), self.run_start_line, fits)
             .map_err(|error| self.with_log(&error))
     }
 
-    /// Gives it a line on its standard input.
+    /// Writes a line to the process's standard input.
     ///
     /// # Errors
     ///
-    /// When it takes no orders or has ended.
+    /// Fails when the process takes no orders or has ended.
     pub fn say(&mut self, line: &str) -> io::Result<()> {
-        let none = || io::Error::other("it takes no orders");
+        let none = || io::Error::other("the process takes no orders");
         let orders = self.orders.as_mut().ok_or_else(none)?;
         orders.write_all(format!("{line}\n").as_bytes())?;
         orders.flush()
     }
 
-    /// Waits for the next line of its standard output, each heard once.
+    /// Waits for the next line of the standard output. Each line is returned once.
     ///
     /// # Errors
     ///
-    /// As [`Process::wait_for_log`].
+    /// Fails as [`Process::wait_for_log`] does.
     pub fn hear(&mut self) -> io::Result<String> {
-        let found = self.output.wait(&format!("an answer of {}", self.name), self.heard, |_| true);
+        let found = self.output.wait(&format!("an answer of {}", self.name), self.answers_read, |_| true);
         let line = found.map_err(|error| self.with_log(&error))?;
-        self.heard += 1;
+        self.answers_read += 1;
         Ok(line)
     }
 
@@ -285,13 +285,13 @@
         self.child.as_ref().map(Pid::from_child).ok_or_else(gone)
     }
 
-    /// Ends it there and then (SIGKILL). One that ended by itself is taken note of.
+    /// Kills the process (SIGKILL) and collects its exit status, also if it has already ended by itself.
     ///
     /// # Errors
     ///
-    /// When it doesn't run.
+    /// Fails when the process does not run.
     pub fn kill(&mut self) -> io::Result<ExitStatus> {
-        let gone = || io::Error::new(io::ErrorKind::NotFound, "does not run");
+        let gone = || io::Error::new(io::ErrorKind::NotFound, "the process does not run");
         let mut child = self.child.take().ok_or_else(gone)?;
         child.kill()?;
         let status = child.wait()?;
@@ -300,45 +300,46 @@
         Ok(status)
     }
 
-    /// Takes its turns away (SIGSTOP); returns when it has stopped.
+    /// Stops the process (SIGSTOP) and returns once it has stopped.
     ///
     /// # Errors
     ///
-    /// When it doesn't run.
+    /// Fails when the process does not run.
     pub fn pause(&mut self) -> io::Result<()> {
         let pid = self.pid()?;
         kill_process(pid, Signal::STOP)?;
-        // Looks only: the end of a process that died meanwhile stays for whoever waits for it.
+        // Without consuming the status: if the process ended in the meantime, its exit status stays for a
+        // later wait.
         waitid(WaitId::Pid(pid), WaitIdOptions::STOPPED | WaitIdOptions::EXITED | WaitIdOptions::NOWAIT)?;
         self.paused = true;
         Ok(())
     }
 
-    /// Gives it turns again (SIGCONT).
+    /// Continues a stopped process (SIGCONT).
     ///
     /// # Errors
     ///
-    /// When it doesn't run.
+    /// Fails when the process does not run.
     pub fn resume(&mut self) -> io::Result<()> {
         kill_process(self.pid()?, Signal::CONT)?;
         self.paused = false;
         Ok(())
     }
 
-    /// Sends it a signal, such as SIGHUP for a reload.
+    /// Sends a signal, such as SIGHUP for a reload.
     ///
     /// # Errors
     ///
-    /// When it doesn't run.
+    /// Fails when the process does not run.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill_process(self.pid()?, signal)?)
     }
 
-    /// Asks it to end (SIGTERM) and waits until it has.
+    /// Asks the process to end (SIGTERM) and waits until it has ended.
     ///
     /// # Errors
     ///
-    /// When it doesn't run, or on [`LIMIT`](super::LIMIT); it runs on then.
+    /// Fails when the process does not run, or after [`LIMIT`](super::LIMIT), in which case it keeps running.
     pub fn stop(&mut self) -> io::Result<ExitStatus> {
         if self.paused {
             self.resume()?;
@@ -347,24 +348,27 @@
         self.wait_exit()
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process ends by itself.
     ///
     /// # Errors
     ///
-    /// When it doesn't run, or on [`LIMIT`](super::LIMIT).
+    /// Fails when the process does not run, or after [`LIMIT`](super::LIMIT).
     pub fn wait_exit(&mut self) -> io::Result<ExitStatus> {
         self.pid()?;
-        // Both close at its end and not before: it starts nobody who could inherit them.
+        // Both pipes close exactly when the process ends, because it has no children that could inherit them.
         self.output.wait_closed(&self.name)?;
         self.log.wait_closed(&self.name)?;
-        self.child.take().map_or_else(|| Err(io::Error::other("it has ended")), |mut child| child.wait())
+        self.child
+            .take()
+            .map_or_else(|| Err(io::Error::other("the process has ended")), |mut child| child.wait())
     }
 
-    /// Starts it again, killed first if it still runs. [`Process::ready`] then tells its new addresses.
+    /// Starts the process again, after killing it if it still runs. [`Process::ready`] then returns its new
+    /// addresses.
     ///
     /// # Errors
     ///
-    /// As [`Process::start`].
+    /// Fails as [`Process::start`] does.
     pub fn restart(&mut self, disk: Disk) -> io::Result<()> {
         if self.child.is_some() {
             self.kill()?;
--- a/crates/lemoncleat-lab/src/stage/relay.rs
+++ b/crates/lemoncleat-lab/src/stage/relay.rs
@@ -1,4 +1,4 @@
-//! The thread behind [`Links`](super::Links): listeners, connections and what is set for each direction.
+//! Relay thread of [`Links`](super::Links): listeners, connections, and the rules in force per direction.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -11,49 +11,52 @@
 
 use crate::Micros;
 
-/// Bytes that may wait in one direction of a connection before no more are read.
-const WAITING: usize = 256 * 1024;
-/// Bytes read at once.
-const READ: usize = 64 * 1024;
-/// Connections at a time; more are refused.
-const CONNECTIONS: usize = 32_768;
-/// Rounds of reading and writing that a connection gets before the others have their turn.
-const ROUNDS: usize = 4;
-/// Pause after accepting failed, as when descriptors run out.
+/// Maximum number of bytes queued in one direction of a connection; reading stops at this limit.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Maximum number of bytes per read.
+const READ_BYTES: usize = 64 * 1024;
+/// Maximum number of simultaneous connections; further ones are refused.
+const MAX_CONNECTIONS: usize = 32_768;
+/// Number of read and write rounds for one connection before the others are served.
+const ROUNDS_PER_TURN: usize = 4;
+/// Delay before accepting again after a failure, such as running out of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 pub(super) const WAKE: Token = Token(usize::MAX);
-const LISTENERS: usize = 1 << 60;
+const LISTENER_TOKENS: usize = 1 << 60;
 
-/// What becomes of the bytes of a direction that is cut. Nothing arrives while it lasts, and connections stay up.
+/// What happens to the bytes of a direction that is cut. While the cut lasts, nothing arrives and connections
+/// stay open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// They arrive when the cut ends, late and in order.
+    /// Bytes arrive when the cut ends, late and in order.
     Late,
-    /// They are gone. A connection that lost any is reset when the cut ends, as one is whose sender gave up.
+    /// Bytes are discarded. A connection that lost any is reset when the cut ends, as if its sender had given
+    /// up.
     Lost,
 }
 
-/// What one direction between two ends has carried.
+/// Traffic counters of one direction between two machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Connections that its sender opened.
+    /// Number of connections opened by the sending side.
     pub opened: u64,
-    /// Those of them that were refused.
+    /// Number of these connections that were refused.
     pub refused: u64,
-    /// Connections, whoever opened them, that stand now.
+    /// Number of connections currently open, whichever side opened them.
     pub standing: u64,
-    /// Connections, whoever opened them, that were reset by order or after a [`Cut::Lost`].
+    /// Number of connections reset on request, after a [`Cut::Lost`] or by an error, whichever side opened
+    /// them.
     pub reset: u64,
-    /// Bytes that arrived.
+    /// Number of bytes delivered.
     pub carried: u64,
-    /// Bytes that wait in the relay now.
+    /// Number of bytes currently queued in the relay.
     pub waiting: u64,
-    /// Bytes that were thrown away.
+    /// Number of bytes discarded.
     pub lost: u64,
 }
 
-/// What is set for some directions until it is ended. Machines are numbers.
+/// A rule that applies to some directions until it is ended. Machines are identified by index.
 pub(super) enum Rule {
     Delay(Vec<usize>, Vec<usize>, Micros),
     Cut(Vec<usize>, Vec<usize>, Cut),
@@ -62,7 +65,7 @@
     Partition(Vec<Vec<usize>>, Cut),
 }
 
-/// What holds for a direction with all rules taken together.
+/// Combined effect of all rules on one direction.
 #[derive(Clone, Copy, Default)]
 struct Effect {
     delay: Duration,
@@ -116,11 +119,11 @@
     address: Option<SocketAddr>,
 }
 
-struct Door {
+struct Listener {
     listener: TcpListener,
     address: SocketAddr,
     target: usize,
-    /// The direction of the dialler to the target, and back.
+    /// Direction from the dialler to the target, and the reverse one.
     directions: [usize; 2],
 }
 
@@ -136,12 +139,12 @@
     queue: VecDeque<(Instant, Item)>,
     waiting: usize,
     last_due: Instant,
-    /// Nothing more comes from the source.
+    /// Set when nothing more will be read from the source.
     ended: bool,
-    /// The end was passed on to the sink, or the sink takes nothing more.
+    /// Set when the end of the stream was passed to the sink, or the sink accepts nothing more.
     done: bool,
-    /// Something was thrown away.
-    lossy: bool,
+    /// Set when bytes were discarded.
+    lost_bytes: bool,
 }
 
 #[derive(Default)]
@@ -151,7 +154,7 @@
     writable: bool,
 }
 
-/// Side 0 is the dialler's, side 1 the target's; flow 0 goes from 0 to 1.
+/// A relayed connection. Side 0 is the dialler, side 1 the target; flow 0 runs from side 0 to side 1.
 struct Conn {
     target: usize,
     sides: [Side; 2],
@@ -160,32 +163,32 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Fate {
-    Stands,
-    Goes,
+enum Outcome {
+    Open,
+    Close,
     Reset,
 }
 
 pub(super) type Job = Box<dyn FnOnce(&mut Relay) + Send>;
-type Wanted = Box<dyn FnMut(&Relay) -> bool + Send>;
+type Condition = Box<dyn FnMut(&Relay) -> bool + Send>;
 
 pub(super) struct Relay {
     poll: Poll,
     machines: Vec<String>,
     targets: Vec<Target>,
-    doors: Vec<Door>,
-    door_of: BTreeMap<(usize, usize), usize>,
+    listeners: Vec<Listener>,
+    listener_of: BTreeMap<(usize, usize), usize>,
     directions: Vec<Direction>,
     direction_of: BTreeMap<(usize, usize), usize>,
     rules: BTreeMap<u64, Rule>,
     next_rule: u64,
     conns: HashMap<usize, Conn>,
     next_conn: usize,
-    /// Connections that still have something to do.
+    /// Connections with pending work.
     ready: Vec<usize>,
     timers: BTreeSet<(Instant, usize)>,
-    accept_again: Vec<usize>,
-    waiters: Vec<(Wanted, Sender<()>)>,
+    accept_retries: Vec<usize>,
+    waiters: Vec<(Condition, Sender<()>)>,
     buffer: Vec<u8>,
     pub(super) stop: bool,
 }
@@ -196,8 +199,8 @@
             poll,
             machines: Vec::new(),
             targets: Vec::new(),
-            doors: Vec::new(),
-            door_of: BTreeMap::new(),
+            listeners: Vec::new(),
+            listener_of: BTreeMap::new(),
             directions: Vec::new(),
             direction_of: BTreeMap::new(),
             rules: BTreeMap::new(),
@@ -206,14 +209,14 @@
             next_conn: 0,
             ready: Vec::new(),
             timers: BTreeSet::new(),
-            accept_again: Vec::new(),
+            accept_retries: Vec::new(),
             waiters: Vec::new(),
-            buffer: vec![0; READ],
+            buffer: vec![0; READ_BYTES],
             stop: false,
         }
     }
 
-    /// The number of the machine that an end (`machine` or `machine/port`) belongs to.
+    /// Returns the index of the machine that an end (`machine` or `machine/port`) belongs to.
     pub(super) fn machine(&mut self, end: &str) -> usize {
         let name = end.split('/').next().unwrap_or(end);
         self.machines.iter().position(|machine| machine == name).unwrap_or_else(|| {
@@ -244,17 +247,17 @@
 
     pub(super) fn address(&mut self, from: &str, to: &str) -> io::Result<SocketAddr> {
         let (from, target) = (self.machine(from), self.target(to));
-        if let Some(door) = self.door_of.get(&(from, target)) {
-            return Ok(self.doors[*door].address);
+        if let Some(listener) = self.listener_of.get(&(from, target)) {
+            return Ok(self.listeners[*listener].address);
         }
         let mut listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         let address = listener.local_addr()?;
-        let token = Token(LISTENERS + self.doors.len());
+        let token = Token(LISTENER_TOKENS + self.listeners.len());
         self.poll.registry().register(&mut listener, token, Interest::READABLE)?;
         let to = self.targets[target].machine;
         let directions = [self.direction(from, to), self.direction(to, from)];
-        self.door_of.insert((from, target), self.doors.len());
-        self.doors.push(Door { listener, address, target, directions });
+        self.listener_of.insert((from, target), self.listeners.len());
+        self.listeners.push(Listener { listener, address, target, directions });
         Ok(address)
     }
 
@@ -267,22 +270,22 @@
     pub(super) fn add(&mut self, rule: Rule) -> u64 {
         self.next_rule += 1;
         self.rules.insert(self.next_rule, rule);
-        self.work_out();
+        self.apply_rules();
         self.next_rule
     }
 
     pub(super) fn end(&mut self, rule: u64) {
         self.rules.remove(&rule);
-        self.work_out();
+        self.apply_rules();
     }
 
     pub(super) fn heal(&mut self) {
         self.rules.retain(|_, rule| matches!(rule, Rule::Delay(..)));
-        self.work_out();
+        self.apply_rules();
     }
 
-    /// Brings all directions and connections in line with the rules, before the caller goes on.
-    fn work_out(&mut self) {
+    /// Applies the current rules to all directions and connections before the caller continues.
+    fn apply_rules(&mut self) {
         for direction in &mut self.directions {
             direction.effect = Effect::default();
             self.rules
@@ -303,7 +306,7 @@
             })
             .map(|(id, _)| *id)
             .collect();
-        hit.iter().for_each(|id| self.drop_conn(*id, Fate::Reset));
+        hit.iter().for_each(|id| self.drop_conn(*id, Outcome::Reset));
         hit.len() as u64
     }
 
@@ -313,8 +316,8 @@
         direction.map(|direction| self.directions[*direction].traffic).unwrap_or_default()
     }
 
-    pub(super) fn wait(&mut self, wanted: Wanted, sender: Sender<()>) {
-        self.waiters.push((wanted, sender));
+    pub(super) fn wait(&mut self, condition: Condition, sender: Sender<()>) {
+        self.waiters.push((condition, sender));
     }
 
     pub(super) fn run(mut self, jobs: &Receiver<Job>) {
@@ -322,25 +325,25 @@
         while !self.stop {
             let mut timeout =
                 self.timers.first().map(|(due, _)| due.saturating_duration_since(Instant::now()));
-            if !self.accept_again.is_empty() {
+            if !self.accept_retries.is_empty() {
                 timeout = Some(timeout.map_or(ACCEPT_PAUSE, |timeout| timeout.min(ACCEPT_PAUSE)));
             }
             if !self.ready.is_empty() {
                 timeout = Some(Duration::ZERO);
             }
             if self.poll.poll(&mut events, timeout).is_err() {
-                // Interrupted by a signal; the events come again.
+                // Interrupted by a signal; the events are reported again.
                 continue;
             }
-            for door in std::mem::take(&mut self.accept_again) {
-                self.accept(door);
+            for listener in std::mem::take(&mut self.accept_retries) {
+                self.accept(listener);
             }
             for event in &events {
                 let token = event.token().0;
                 if event.token() == WAKE {
                     continue;
-                } else if token >= LISTENERS {
-                    self.accept(token - LISTENERS);
+                } else if token >= LISTENER_TOKENS {
+                    self.accept(token - LISTENER_TOKENS);
                 } else if let Some(conn) = self.conns.get_mut(&(token / 2)) {
                     let side = &mut conn.sides[token % 2];
                     side.readable |= event.is_readable() || event.is_read_closed() || event.is_error();
@@ -359,32 +362,32 @@
             ready.dedup();
             ready.into_iter().for_each(|conn| self.pump(conn));
             let mut waiters = std::mem::take(&mut self.waiters);
-            waiters.retain_mut(|(wanted, sender)| {
-                let come = wanted(&self);
-                if come {
-                    // Whoever waited may have given up.
+            waiters.retain_mut(|(condition, sender)| {
+                let met = condition(&self);
+                if met {
+                    // The waiting caller may have timed out.
                     let _ = sender.send(());
                 }
-                !come
+                !met
             });
             self.waiters = waiters;
         }
     }
 
     fn accept(&mut self, at: usize) {
-        while let Some(door) = self.doors.get(at) {
-            let (mut stream, _) = match door.listener.accept() {
+        while let Some(listener) = self.listeners.get(at) {
+            let (mut stream, _) = match listener.listener.accept() {
                 Ok(accepted) => accepted,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::ConnectionAborted => continue,
-                Err(_) => return self.accept_again.push(at),
+                Err(_) => return self.accept_retries.push(at),
             };
-            let (target, directions) = (door.target, door.directions);
+            let (target, directions) = (listener.target, listener.directions);
             let direction = &mut self.directions[directions[0]];
             direction.traffic.opened += 1;
             let id = self.next_conn;
             let token = Token(id * 2);
-            let full = self.conns.len() >= CONNECTIONS;
+            let full = self.conns.len() >= MAX_CONNECTIONS;
             if full
                 || direction.effect.refuse
                 || self
@@ -407,7 +410,7 @@
                 last_due: now,
                 ended: false,
                 done: false,
-                lossy: false,
+                lost_bytes: false,
             };
             let dialler = Side { stream: Some(stream), readable: true, writable: true };
             directions.iter().for_each(|at| self.directions[*at].traffic.standing += 1);
@@ -424,106 +427,107 @@
         }
     }
 
-    fn drop_conn(&mut self, id: usize, fate: Fate) {
+    fn drop_conn(&mut self, id: usize, outcome: Outcome) {
         let Some(conn) = self.conns.remove(&id) else { return };
         for flow in &conn.flows {
             let traffic = &mut self.directions[flow.direction].traffic;
             traffic.standing -= 1;
             traffic.waiting -= flow.waiting as u64;
-            traffic.reset += u64::from(fate == Fate::Reset);
+            traffic.reset += u64::from(outcome == Outcome::Reset);
         }
-        if fate == Fate::Reset {
+        if outcome == Outcome::Reset {
             conn.sides.iter().filter_map(|side| side.stream.as_ref()).for_each(abort);
         }
     }
 
     fn pump(&mut self, id: usize) {
         let Some(mut conn) = self.conns.remove(&id) else { return };
-        let mut fate = Fate::Stands;
+        let mut outcome = Outcome::Open;
         let mut more = true;
-        for _ in 0..ROUNDS {
-            if fate != Fate::Stands || !more {
+        for _ in 0..ROUNDS_PER_TURN {
+            if outcome != Outcome::Open || !more {
                 break;
             }
             more = false;
-            fate = self.dial(id, &mut conn);
-            for way in 0..2 {
-                if fate == Fate::Stands {
-                    fate = self.pump_flow(id, &mut conn, way, &mut more);
+            outcome = self.dial(id, &mut conn);
+            for index in 0..2 {
+                if outcome == Outcome::Open {
+                    outcome = self.pump_flow(id, &mut conn, index, &mut more);
                 }
             }
-            if fate == Fate::Stands && conn.flows.iter().all(|flow| flow.done) {
-                fate = Fate::Goes;
+            if outcome == Outcome::Open && conn.flows.iter().all(|flow| flow.done) {
+                outcome = Outcome::Close;
             }
         }
         self.conns.insert(id, conn);
-        match fate {
-            Fate::Stands if more => self.ready.push(id),
-            Fate::Stands => {}
-            _ => self.drop_conn(id, fate),
+        match outcome {
+            Outcome::Open if more => self.ready.push(id),
+            Outcome::Open => {}
+            _ => self.drop_conn(id, outcome),
         }
     }
 
-    /// Opens the target's side. That takes a word in both directions, so a cut in either makes it wait.
-    fn dial(&mut self, id: usize, conn: &mut Conn) -> Fate {
+    /// Opens the target's side. A TCP handshake needs both directions, so a cut in either one delays it.
+    fn dial(&mut self, id: usize, conn: &mut Conn) -> Outcome {
         if conn.connecting {
             let Some(stream) = conn.sides[1].stream.as_ref().filter(|_| conn.sides[1].writable) else {
-                return Fate::Stands;
+                return Outcome::Open;
             };
             if !matches!(stream.take_error(), Ok(None)) {
-                return Fate::Reset;
+                return Outcome::Reset;
             }
             if stream.peer_addr().is_err() {
-                // Not yet: another event comes.
+                // Not connected yet; another event follows.
                 conn.sides[1].writable = false;
-                return Fate::Stands;
+                return Outcome::Open;
             }
             let _ = stream.set_nodelay(true);
             conn.connecting = false;
         }
         if conn.sides[1].stream.is_some() {
-            return Fate::Stands;
+            return Outcome::Open;
         }
         if conn.flows[0].ended {
-            // Nobody waits any more for the connection that never came.
-            return Fate::Goes;
+            // The dialler has closed before the target's side was opened.
+            return Outcome::Close;
         }
         let cut = conn.flows.iter().any(|flow| self.directions[flow.direction].effect.cut.is_some());
-        let Some(address) = self.targets[conn.target].address.filter(|_| !cut) else { return Fate::Stands };
-        let Ok(mut stream) = TcpStream::connect(address) else { return Fate::Reset };
+        let Some(address) = self.targets[conn.target].address.filter(|_| !cut) else { return Outcome::Open };
+        let Ok(mut stream) = TcpStream::connect(address) else { return Outcome::Reset };
         let interest = Interest::READABLE | Interest::WRITABLE;
         if self.poll.registry().register(&mut stream, Token(id * 2 + 1), interest).is_err() {
-            return Fate::Reset;
+            return Outcome::Reset;
         }
         conn.sides[1].stream = Some(stream);
         conn.connecting = true;
-        Fate::Stands
+        Outcome::Open
     }
 
-    fn pump_flow(&mut self, id: usize, conn: &mut Conn, way: usize, more: &mut bool) -> Fate {
-        let Direction { effect, traffic, .. } = &mut self.directions[conn.flows[way].direction];
+    fn pump_flow(&mut self, id: usize, conn: &mut Conn, index: usize, more: &mut bool) -> Outcome {
+        let Direction { effect, traffic, .. } = &mut self.directions[conn.flows[index].direction];
         let (first, second) = conn.flows.split_at_mut(1);
-        let (flow, back) =
-            if way == 0 { (&mut first[0], &mut second[0]) } else { (&mut second[0], &mut first[0]) };
+        let (flow, reverse) =
+            if index == 0 { (&mut first[0], &mut second[0]) } else { (&mut second[0], &mut first[0]) };
         let (first, second) = conn.sides.split_at_mut(1);
         let (source, sink) =
-            if way == 0 { (&mut first[0], &mut second[0]) } else { (&mut second[0], &mut first[0]) };
+            if index == 0 { (&mut first[0], &mut second[0]) } else { (&mut second[0], &mut first[0]) };
         let lost = effect.cut == Some(Cut::Lost);
         if lost && !flow.queue.is_empty() {
             traffic.waiting -= flow.waiting as u64;
             traffic.lost += flow.waiting as u64;
             flow.waiting = 0;
             flow.queue.clear();
-            flow.lossy = true;
+            flow.lost_bytes = true;
         }
-        if flow.lossy && !lost {
-            return Fate::Reset;
+        if flow.lost_bytes && !lost {
+            return Outcome::Reset;
         }
         let now = Instant::now();
         let mut read = 0;
         while let Some(stream) = source.stream.as_mut().filter(|_| source.readable && !flow.ended) {
-            let room = if lost { READ } else { READ.min(WAITING.saturating_sub(flow.waiting)) };
-            if room == 0 || read >= WAITING {
+            let room =
+                if lost { READ_BYTES } else { READ_BYTES.min(MAX_QUEUED_BYTES.saturating_sub(flow.waiting)) };
+            if room == 0 || read >= MAX_QUEUED_BYTES {
                 *more |= room > 0;
                 break;
             }
@@ -543,17 +547,17 @@
             flow.ended = !matches!(item, Item::Bytes(..));
             let count = if let Item::Bytes(bytes, _) = &item { bytes.len() } else { 0 };
             if lost {
-                flow.lossy = true;
+                flow.lost_bytes = true;
                 traffic.lost += count as u64;
                 continue;
             }
             flow.waiting += count;
             traffic.waiting += count as u64;
-            // The delay may have become shorter: bytes stay in order all the same.
+            // Keeps bytes in order even if the delay has become shorter.
             flow.last_due = flow.last_due.max(now + effect.delay);
             flow.queue.push_back((flow.last_due, item));
         }
-        let connected = sink.stream.is_some() && (way == 1 || !conn.connecting);
+        let connected = sink.stream.is_some() && (index == 1 || !conn.connecting);
         while effect.cut.is_none() && connected && sink.writable {
             let (Some((due, item)), Some(stream)) = (flow.queue.front_mut(), sink.stream.as_mut()) else {
                 break;
@@ -563,7 +567,7 @@
                 break;
             }
             match item {
-                Item::Abort => return Fate::Reset,
+                Item::Abort => return Outcome::Reset,
                 Item::End => {
                     let _ = stream.shutdown(Shutdown::Write);
                     flow.done = true;
@@ -583,26 +587,27 @@
                     Err(error) if error.kind() == ErrorKind::WouldBlock => sink.writable = false,
                     Err(error) if error.kind() == ErrorKind::Interrupted => {}
                     Err(_) => {
-                        // The sink is gone. Its peer learns it by the way back, when that is open.
+                        // The sink is gone. The source learns this through the reverse flow, once that is not
+                        // cut.
                         traffic.waiting -= flow.waiting as u64;
                         flow.waiting = 0;
                         flow.queue.clear();
                         flow.ended = true;
                         flow.done = true;
-                        back.ended = true;
-                        back.last_due = back.last_due.max(now);
-                        back.queue.push_back((back.last_due, Item::Abort));
+                        reverse.ended = true;
+                        reverse.last_due = reverse.last_due.max(now);
+                        reverse.queue.push_back((reverse.last_due, Item::Abort));
                         *more = true;
                         break;
                     }
                 },
             }
         }
-        Fate::Stands
+        Outcome::Open
     }
 }
 
-/// Sees to it that closing the connection resets it.
+/// Makes closing the connection send a reset.
 fn abort(stream: &TcpStream) {
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/lemoncleat-lab/tests/capacity.rs
+++ b/crates/lemoncleat-lab/tests/capacity.rs
@@ -1,7 +1,7 @@
-//! The capacity page against the results files: its derived tables are worked out again and compared cell by cell,
-//! and damaged results are refused with a clear error.
+//! Checks the capacity page against the results files: its derived tables are computed again and compared
+//! cell by cell, and damaged results are refused with a clear error.
 //!
-//! `cargo test -p lemoncleat-lab --test capacity -- --ignored` writes the page's derived tables anew.
+//! `cargo test -p lemoncleat-lab --test capacity -- --ignored` rewrites the page's derived tables.
 
 use std::path::{Path, PathBuf};
 
@@ -25,7 +25,7 @@
     Slopes::read(&read("capacity/slopes.json")).unwrap_or_else(|error| panic!("slopes.json: {error}"))
 }
 
-/// The scale run's results, if they are there.
+/// Returns the results of the scale run, if the file exists.
 fn scale() -> Option<Scale> {
     let path = docs().join("capacity/scale.json");
     let text = path.exists().then(|| read("capacity/scale.json"))?;
@@ -33,23 +33,23 @@
 }
 
 #[test]
-fn the_page_says_what_the_results_give() {
+fn page_matches_results() {
     let page = page();
     let derived = render(&page, &slopes(), scale().as_ref()).unwrap_or_else(|error| panic!("{error}"));
     let rows = |text: &str| -> Vec<Vec<String>> {
         text.lines().map(|line| line.split('|').map(|cell| cell.trim().to_owned()).collect()).collect()
     };
-    let (stands, given) = (rows(&page), rows(&derived));
-    for (number, (stands, given)) in stands.iter().zip(&given).enumerate() {
-        for (cell, (stands, given)) in stands.iter().zip(given).enumerate() {
-            assert_eq!(stands, given, "line {} of docs/CAPACITY.md, cell {cell}", number + 1);
+    let (actual, expected) = (rows(&page), rows(&derived));
+    for (number, (actual, expected)) in actual.iter().zip(&expected).enumerate() {
+        for (cell, (actual, expected)) in actual.iter().zip(expected).enumerate() {
+            assert_eq!(actual, expected, "line {} of docs/CAPACITY.md, cell {cell}", number + 1);
         }
     }
     assert_eq!(page, derived, "docs/CAPACITY.md has other lines than its results give");
 }
 
 #[test]
-fn a_slope_that_misses_is_explained() {
+fn slope_that_misses_largest_size_is_explained_on_page() {
     let page = page();
     let (_, section) = page.split_once("\n## Slopes that miss\n").expect("a section of the slopes that miss");
     let section = section.split("\n## ").next().expect("the section");
@@ -61,13 +61,13 @@
 
 #[test]
 #[ignore = "writes docs/CAPACITY.md"]
-fn write_the_page() {
+fn write_page() {
     let derived = render(&page(), &slopes(), scale().as_ref()).unwrap_or_else(|error| panic!("{error}"));
     std::fs::write(docs().join("CAPACITY.md"), derived).expect("the page is written");
 }
 
-/// A results file with each series of the page.
-fn whole() -> Value {
+/// Returns a valid results file with each series of the page.
+fn valid_results() -> Value {
     let mut series = Vec::new();
     let mut add = |name: &str, unit: &str| {
         if series.iter().all(|other: &Value| other["name"] != name) {
@@ -82,60 +82,64 @@
     json!({"schema": 1, "series": series})
 }
 
-fn refused(file: &Value) -> ResultsError {
+fn read_error(file: &Value) -> ResultsError {
     Slopes::read(&file.to_string()).expect_err("damaged")
 }
 
 #[test]
-fn damaged_results_are_refused_with_what_is_wrong() {
-    let good = whole();
+fn damaged_results_are_refused_with_cause() {
+    let good = valid_results();
     Slopes::read(&good.to_string()).expect("whole");
     let name = good["series"][3]["name"].as_str().expect("a name").to_owned();
-    // Torn at any place.
+    // Truncated at various positions.
     let text = good.to_string();
     for end in (0..text.len()).step_by(97) {
         let error = Slopes::read(&text[..end]).expect_err("torn");
         assert!(matches!(error, ResultsError::Unreadable(_)), "{end}: {error}");
     }
-    // A figure that is no number, as JSON can't say it and as it is written for one.
+    // A figure that is not a number: as text that is not JSON, out of range, and as null.
     let nan = text.replacen("1025.0", "NaN", 1);
     assert!(matches!(Slopes::read(&nan), Err(ResultsError::Unreadable(_))));
     let over = text.replacen("1025.0", "1e999", 1);
     assert!(Slopes::read(&over).is_err());
     let mut bad = good.clone();
     bad["series"][3]["measured"][2] = Value::Null;
-    assert_eq!(refused(&bad), ResultsError::NoFigure(name.clone(), "256 members".into()));
-    // Sizes that do not rise, a figure too few, too few sizes.
+    assert_eq!(read_error(&bad), ResultsError::NoFigure(name.clone(), "256 members".into()));
+    // Sizes that do not increase, too few figures, too few sizes.
     for sizes in [json!([64, 128, 128, 512, 1024]), json!([128, 64, 256, 512, 1024]), json!([0, 1, 2, 3, 4])]
     {
         let mut bad = good.clone();
         bad["series"][3]["sizes"] = sizes;
-        assert_eq!(refused(&bad), ResultsError::NotRising(name.clone()));
+        assert_eq!(read_error(&bad), ResultsError::NotRising(name.clone()));
     }
     let mut bad = good.clone();
     bad["series"][3]["measured"] = json!([1.0, 2.0, 3.0, 4.0]);
-    assert_eq!(refused(&bad), ResultsError::Lengths(name.clone(), 5, 4));
+    assert_eq!(read_error(&bad), ResultsError::Lengths(name.clone(), 5, 4));
     bad["series"][3]["sizes"] = json!([1, 2, 3, 4]);
-    assert_eq!(refused(&bad), ResultsError::Lengths(name.clone(), 4, 4));
-    // Twice, of another schema, without what tells how it was measured.
+    assert_eq!(read_error(&bad), ResultsError::Lengths(name.clone(), 4, 4));
+    // A duplicate series, another schema, missing conditions.
     let mut bad = good.clone();
     bad["series"][4] = good["series"][3].clone();
-    assert_eq!(refused(&bad), ResultsError::Twice(name));
+    assert_eq!(read_error(&bad), ResultsError::Twice(name));
     let mut bad = good.clone();
     bad["schema"] = json!(2);
-    assert_eq!(refused(&bad), ResultsError::Schema(2));
+    assert_eq!(read_error(&bad), ResultsError::Schema(2));
     let mut bad = good.clone();
     bad["series"][3]["conditions"] = Value::Null;
-    assert!(matches!(refused(&bad), ResultsError::Unreadable(_)));
+    assert!(matches!(read_error(&bad), ResultsError::Unreadable(_)));
 }
 
 #[test]
-fn a_page_is_written_whole_or_not_at_all() {
-    let (good, page) = (whole(), page());
+fn page_is_rendered_completely_or_not_at_all() {
+    let (good, page) = (valid_results(), page());
     let slopes = |file: &Value| Slopes::read(&file.to_string()).expect("whole");
     let written = render(&page, &slopes(&good), None).expect("a page");
-    assert_eq!(render(&written, &slopes(&good), None).as_deref(), Ok(written.as_str()), "twice is once");
-    // Any series of the page that is missing, or in another unit.
+    assert_eq!(
+        render(&written, &slopes(&good), None).as_deref(),
+        Ok(written.as_str()),
+        "rendering is idempotent"
+    );
+    // Each series of the page missing, or in another unit.
     for at in 0..good["series"].as_array().expect("series").len() {
         let name = good["series"][at]["name"].as_str().expect("a name").to_owned();
         let mut bad = good.clone();
@@ -145,7 +149,7 @@
         bad["series"][at]["unit"] = json!("furlongs");
         assert_eq!(render(&page, &slopes(&bad), None), Err(ResultsError::Unit(name, "furlongs".into())));
     }
-    // The page's markers.
+    // Wrong markers on the page.
     let render = |page: &str| render(page, &slopes(&good), None).expect_err("a bad page");
     let begin = "<!-- derived: call -->";
     for bad in [
@@ -160,8 +164,8 @@
 }
 
 #[test]
-fn a_slope_predicts_the_largest_size_without_seeing_it() {
-    let mut file = whole();
+fn fit_predicts_largest_size_without_using_it() {
+    let mut file = valid_results();
     for (shape, of) in [
         (Shape::Linear, (|size| 3.0 * size + 7.0) as fn(f64) -> f64),
         (Shape::LogLinear, |size| 3.0 * size * size.log2() + 7.0),
@@ -180,8 +184,8 @@
 }
 
 #[test]
-fn what_saturates_is_fitted_from_the_second_size_on() {
-    let mut file = whole();
+fn flat_shape_is_fitted_from_second_size_on() {
+    let mut file = valid_results();
     file["series"][0]["measured"] = json!([1.0, 7.0, 8.0, 9.0, 10.0]);
     let name = file["series"][0]["name"].as_str().expect("a name").to_owned();
     let slopes = Slopes::read(&file.to_string()).expect("whole");
@@ -201,10 +205,10 @@
 }
 
 #[test]
-fn the_scale_run_gets_its_table_and_its_damage_an_error() {
+fn scale_run_is_rendered_and_damaged_one_is_refused() {
     let good = scale_run();
     let scale = Scale::read(&good.to_string()).expect("whole");
-    let slopes = Slopes::read(&whole().to_string()).expect("whole");
+    let slopes = Slopes::read(&valid_results().to_string()).expect("whole");
     let text = render(&page(), &slopes, Some(&scale)).expect("a page");
     let row = "| zone gone | voter | bytes_sent | 1 | 2 | 3,000 | 5,000 | 4,000 | within |";
     assert!(text.contains(row), "{text}");
