--- a/crates/lemoncleat-lab/src/scale/host.rs
+++ b/crates/lemoncleat-lab/src/scale/host.rs
@@ -156,11 +156,11 @@
 
 impl Host {
     pub(super) fn send(&mut self, order: &Order) -> io::Result<()> {
-        self.process.say(&serde_json::to_string(order)?)
+        self.process.write_line(&serde_json::to_string(order)?)
     }
 
     pub(super) fn receive(&mut self) -> io::Result<Answer> {
-        let line = self.process.hear()?;
+        let line = self.process.read_line()?;
         let answer: Answer = serde_json::from_str(&line)
             .map_err(|error| io::Error::other(format!("{}: {error}: {line}", self.process.name())))?;
         match &answer.error {
@@ -171,7 +171,7 @@
 
     pub(super) fn send_plan(&mut self) -> io::Result<()> {
         let plan = serde_json::to_string(&self.plan)?;
-        self.process.say(&plan)?;
+        self.process.write_line(&plan)?;
         self.receive().map(drop)
     }
 }
--- a/crates/lemoncleat-lab/src/scale/layout.rs
+++ b/crates/lemoncleat-lab/src/scale/layout.rs
@@ -10,7 +10,7 @@
 use rustix::process::{getrlimit, Resource};
 
 use super::host::{HollowNode, HollowPlan};
-use super::{ScalePlan, LEAST_NODES, MOST_NODES};
+use super::{ScalePlan, MAX_NODES, MIN_NODES};
 use crate::stage::Links;
 
 /// Region of each zone.
@@ -112,8 +112,8 @@
 
 impl Layout {
     pub(super) fn new(plan: &ScalePlan) -> io::Result<Layout> {
-        if !(LEAST_NODES..=MOST_NODES).contains(&plan.nodes) {
-            return invalid_plan(format!("{} nodes, expected {LEAST_NODES} to {MOST_NODES}", plan.nodes));
+        if !(MIN_NODES..=MAX_NODES).contains(&plan.nodes) {
+            return invalid_plan(format!("{} nodes, expected {MIN_NODES} to {MAX_NODES}", plan.nodes));
         }
         if ![3, 5].contains(&plan.voters) || plan.real == 0 || plan.real > 64 {
             return invalid_plan(format!(
@@ -179,8 +179,7 @@
     }
 
     /// Returns the end of the settings, the same for all nodes of a region: members and voters, up to the end
-    /// of the
-    /// `fleet` block.
+    /// of the `fleet` block.
     pub(super) fn settings_tail(&self, links: &Links, region: usize) -> io::Result<String> {
         let mut text = "(members".to_owned();
         for place in &self.places {
--- a/crates/lemoncleat-lab/src/scale/mod.rs
+++ b/crates/lemoncleat-lab/src/scale/mod.rs
@@ -28,9 +28,9 @@
 use crate::Micros;
 
 /// Maximum number of nodes in a rehearsal.
-pub const MOST_NODES: usize = 1_024;
+pub const MAX_NODES: usize = 1_024;
 /// Minimum number of nodes; with fewer, some zones would be empty.
-pub const LEAST_NODES: usize = 24;
+pub const MIN_NODES: usize = 24;
 
 /// Parameters of a rehearsal.
 #[derive(Clone, Debug)]
--- a/crates/lemoncleat-lab/src/scale/play.rs
+++ b/crates/lemoncleat-lab/src/scale/play.rs
@@ -31,10 +31,11 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval between two samples of resource use.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// CallsMailbox per second that a stand-in server can carry.
+/// Calls per second that a stand-in server can carry.
 const SERVER_CALLS_PER_S: f64 = 400.0;
 // Limits set by the operators, per node: processor time in microseconds per second, memory in bytes, bytes
-// sent per second, and the time until a configuration is in force at all nodes, in milliseconds.
+// sent per second, and the time until all nodes agree, in milliseconds, here until a configuration is in
+// force at all of them.
 const PROCESSOR_LIMIT_US_PER_S: f64 = 26_000.0;
 const MEMORY_LIMIT_BYTES: f64 = 128.0 * 1024.0 * 1024.0;
 const SENT_LIMIT_BYTES_PER_S: f64 = 4_096.0;
@@ -806,13 +807,13 @@
         let place = &layout.places[rack[0]];
         let name = format!("rack{number}");
         let folder = plan.folder.join(&name);
-        let process = Process::start_ordered(&name, &program, &folder, "")?;
+        let process = Process::start_with_input(&name, &program, &folder, "")?;
         let hollow_plan = layout.hollow_plan(&rack, plan, &tails[place.region()], &folder);
         hosts.push(Host { process, zone: place.zone, nodes: rack, state: HostState::Up, plan: hollow_plan });
     }
     for host in &mut hosts {
         let plan = serde_json::to_string(&host.plan)?;
-        host.process.say(&plan)?;
+        host.process.write_line(&plan)?;
     }
     for host in &mut hosts {
         host.receive()?;
--- a/crates/lemoncleat-lab/src/stage/points.rs
+++ b/crates/lemoncleat-lab/src/stage/points.rs
@@ -267,8 +267,8 @@
 ///
 /// # Errors
 ///
-/// Fails when the process or the relay has ended, or `meanwhile` fails. In the last case the process still
-/// continues and links are healed.
+/// Fails when the process or the relay has ended, or `meanwhile` fails. If the process still runs it
+/// continues, and links are healed.
 pub fn carry_out(
     process: &mut Process,
     fault: Fault,
--- a/crates/lemoncleat-lab/src/stage/process.rs
+++ b/crates/lemoncleat-lab/src/stage/process.rs
@@ -73,8 +73,8 @@
     /// Number of output lines before this run.
     run_start_line: usize,
     /// Whether it takes orders on its standard input.
-    ordered: bool,
-    orders: Option<ChildStdin>,
+    takes_input: bool,
+    input: Option<ChildStdin>,
     /// Number of output lines already returned as answers, over all runs.
     answers_read: usize,
 }
@@ -91,12 +91,12 @@
     }
 
     /// Starts a process like [`Process::start`], one that takes orders on its standard input
-    /// ([`Process::say`]) and ends when that closes.
+    /// ([`Process::write_line`]) and ends when that closes.
     ///
     /// # Errors
     ///
     /// Fails as [`Process::start`] does.
-    pub fn start_ordered(
+    pub fn start_with_input(
         name: &str,
         program: &Program,
         folder: &Path,
@@ -110,7 +110,7 @@
         program: &Program,
         folder: &Path,
         settings: &str,
-        ordered: bool,
+        takes_input: bool,
     ) -> io::Result<Process> {
         fs::create_dir_all(folder.join("disk"))?;
         let mut process = Process {
@@ -122,8 +122,8 @@
             output: Arc::default(),
             log: Arc::default(),
             run_start_line: 0,
-            ordered,
-            orders: None,
+            takes_input,
+            input: None,
             answers_read: 0,
         };
         process.set_settings(settings)?;
@@ -145,14 +145,14 @@
             .args(self.program.arguments.iter().map(fill))
             .envs(self.program.environment.iter().cloned())
             .current_dir(&disk)
-            .stdin(if self.ordered { Stdio::piped() } else { Stdio::null() })
+            .stdin(if self.takes_input { Stdio::piped() } else { Stdio::null() })
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|error| {
                 io::Error::new(error.kind(), format!("{}: {error}", self.program.path.display()))
             })?;
-        self.orders = child.stdin.take();
+        self.input = child.stdin.take();
         let (output, errors) = (child.stdout.take(), child.stderr.take());
         // Stored before the next steps, so that the process is killed even if one of them fails.
         self.child = Some(child);
@@ -260,12 +260,12 @@
     ///
     /// # Errors
     ///
-    /// Fails when the process takes no orders or has ended.
-    pub fn say(&mut self, line: &str) -> io::Result<()> {
-        let none = || io::Error::other("the process takes no orders");
-        let orders = self.orders.as_mut().ok_or_else(none)?;
-        orders.write_all(format!("{line}\n").as_bytes())?;
-        orders.flush()
+    /// Fails when the process was not started with [`Process::start_with_input`] or has ended.
+    pub fn write_line(&mut self, line: &str) -> io::Result<()> {
+        let none = || io::Error::other("the process has no standard input");
+        let input = self.input.as_mut().ok_or_else(none)?;
+        input.write_all(format!("{line}\n").as_bytes())?;
+        input.flush()
     }
 
     /// Waits for the next line of the standard output. Each line is returned once.
@@ -273,7 +273,7 @@
     /// # Errors
     ///
     /// Fails as [`Process::wait_for_log`] does.
-    pub fn hear(&mut self) -> io::Result<String> {
+    pub fn read_line(&mut self) -> io::Result<String> {
         let found = self.output.wait(&format!("an answer of {}", self.name), self.answers_read, |_| true);
         let line = found.map_err(|error| self.with_log(&error))?;
         self.answers_read += 1;
