--- a/crates/lemoncleat-acme/src/certificate.rs
+++ b/crates/lemoncleat-acme/src/certificate.rs
@@ -1,4 +1,4 @@
-//! What a certificate says, and whether it is the one that was ordered.
+//! Parses certificate chains and checks that a chain matches the order.
 
 use x509_parser::extensions::{GeneralName, ParsedExtension};
 use x509_parser::pem::Pem;
@@ -7,33 +7,34 @@
 use crate::jose::encode;
 use crate::planner::{Seconds, Validity};
 
-/// A chain as it was read: the facts of its first certificate, and who vouches for its last.
+/// A parsed chain: the fields of its leaf certificate and the issuer of its last certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chain {
-    /// From when to when.
+    /// Validity period of the leaf.
     pub validity: Validity,
-    /// DNS names, in lower case.
+    /// DNS names (subjectAltName), in lower case.
     pub names: Vec<String>,
     /// The public key (SubjectPublicKeyInfo, DER).
     pub public_key: Vec<u8>,
-    /// What renewal information goes by (RFC 9773 section 4.1): key identifier of the authority and serial number.
+    /// Certificate identifier for renewal information (RFC 9773 section 4.1): the authority's key identifier
+    /// and the serial number.
     pub id: Option<String>,
-    /// The issuer of its last certificate.
+    /// Issuer of the last certificate.
     pub top: String,
-    /// The first certificate, DER.
+    /// The leaf certificate, DER.
     pub leaf: Vec<u8>,
 }
 
 impl Chain {
-    /// Reads a chain in PEM; other blocks than certificates are passed over.
+    /// Parses a PEM chain; blocks other than certificates are skipped.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Describes why the chain is invalid.
     pub fn read(pem: &str) -> Result<Chain, String> {
         let mut blocks = Vec::new();
         for block in Pem::iter_from_buffer(pem.as_bytes()) {
-            let block = block.map_err(|error| format!("no PEM: {error}"))?;
+            let block = block.map_err(|error| format!("invalid PEM: {error}"))?;
             if block.label == "CERTIFICATE" {
                 blocks.push(block.contents);
             }
@@ -71,7 +72,7 @@
         }
         let validity = Validity {
             from: leaf.validity().not_before.timestamp(),
-            // The certificate holds until the end of that second; it is shown a second less.
+            // notAfter includes its last second (RFC 5280); the certificate is presented for one second less.
             until: leaf.validity().not_after.timestamp(),
         };
         let id = authority.map(|id| format!("{}.{}", encode(&id), encode(leaf.raw_serial())));
@@ -85,11 +86,11 @@
         })
     }
 
-    /// Whether it is what was ordered: for these names, with this key, not over.
+    /// Checks that the chain is what was ordered: it covers these names, has this key and has not expired.
     ///
     /// # Errors
     ///
-    /// What differs.
+    /// Describes what differs.
     pub fn fits(&self, names: &[String], public_key: &[u8], now: Seconds) -> Result<(), String> {
         if self.public_key != public_key {
             return Err("the certificate is for another key than the one ordered with".to_owned());
@@ -103,17 +104,17 @@
             return Err(format!("the certificate lacks the names {}", missing.join(", ")));
         }
         if self.validity.from >= self.validity.until {
-            return Err("the certificate ends before it begins".to_owned());
+            return Err("the certificate's validity ends before it begins".to_owned());
         }
         if self.validity.until <= now {
-            return Err(format!("the certificate is over since {} s", now - self.validity.until));
+            return Err(format!("the certificate expired {} s ago", now - self.validity.until));
         }
         Ok(())
     }
 }
 
-/// Of several chains of one certificate, the first that ends at an issuer whose name holds `preferred`; otherwise
-/// the authority's own, which comes first.
+/// Returns the index of the first chain whose last issuer's name contains `preferred`, or 0: the authority's
+/// default chain comes first.
 pub fn choose(chains: &[(String, Chain)], preferred: Option<&str>) -> usize {
     let fits = |(_, chain): &(String, Chain)| preferred.is_some_and(|name| chain.top.contains(name));
     chains.iter().position(fits).unwrap_or(0)
--- a/crates/lemoncleat-acme/src/errand.rs
+++ b/crates/lemoncleat-acme/src/errand.rs
@@ -1,5 +1,5 @@
-//! Single errands at an authority: revocation (RFC 8555 section 7.6), the account's new key (section 7.3.5), whether
-//! an account exists (section 7.3.1), renewal information (RFC 9773).
+//! Single operations at an authority: revocation (RFC 8555 section 7.6), account key roll-over (section
+//! 7.3.5), account look-up (section 7.3.1) and renewal information (RFC 9773).
 
 use std::sync::Arc;
 
@@ -11,39 +11,39 @@
 use crate::planner::Seconds;
 use crate::session::{Absorbed, Account, AcmeError, HttpRequest, HttpResponse, Session, Step};
 
-/// What is to be done.
+/// The operation.
 #[derive(Clone, Debug)]
 pub enum ErrandKind {
     /// Revoke a certificate (DER) for a reason (RFC 5280 section 5.3.1).
     Revoke(Vec<u8>, u32),
-    /// Put another key in place of the account's.
+    /// Replace the account's key with this one.
     RollOver(Arc<AccountKey>),
-    /// Find the account of the key, without making one.
+    /// Look up the account of the key without creating one.
     Find,
-    /// Ask when the certificate of this identifier (RFC 9773 section 4.1) should be renewed.
+    /// Fetch the suggested renewal window of the certificate with this identifier (RFC 9773 section 4.1).
     RenewalInfo(String),
 }
 
-/// What came of it.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ErrandResult {
-    /// It is done; the account's URL.
+    /// The operation succeeded; holds the account's URL.
     Done(String),
-    /// The suggested window in seconds since 1970, and after how many seconds to ask again. Without a window the
-    /// authority gives no such information.
+    /// The suggested window in seconds since 1970, and the number of seconds after which to ask again. The
+    /// window is `None` when the authority offers no renewal information.
     Window(Option<(Seconds, Seconds)>, Option<Seconds>),
 }
 
-/// What is to be done next.
+/// The next step of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ErrandStep {
-    /// Send this and tell the answer.
+    /// Send this request and pass the response to [`Errand::answered`].
     Send(HttpRequest),
-    /// That was it.
+    /// The operation is complete.
     Done(ErrandResult),
 }
 
-/// An errand on its way.
+/// An operation in progress.
 #[derive(Debug)]
 pub struct Errand {
     session: Session,
@@ -51,7 +51,7 @@
 }
 
 impl Errand {
-    /// An errand for an account.
+    /// Creates an operation for an account.
     pub fn new(account: Account, kind: ErrandKind) -> Errand {
         let mut session = Session::new(account);
         session.only_existing = true;
@@ -71,14 +71,14 @@
         ErrandStep::Done(ErrandResult::Done(self.session.account.url.clone().unwrap_or_default()))
     }
 
-    /// The next thing to do.
+    /// Returns the next step.
     ///
     /// # Errors
     ///
-    /// When the authority does not offer what is needed.
+    /// When the authority's directory lacks the resource that the operation needs.
     pub fn go_on(&mut self) -> Result<ErrandStep, AcmeError> {
         let signed = !matches!(self.kind, ErrandKind::RenewalInfo(_));
-        if let Some(request) = self.session.before(signed)? {
+        if let Some(request) = self.session.prerequisite(signed)? {
             return Ok(ErrandStep::Send(request));
         }
         let request = match &self.kind {
@@ -106,16 +106,16 @@
         Ok(ErrandStep::Send(request))
     }
 
-    /// The authority answered the last request.
+    /// Processes the authority's response to the last request.
     ///
     /// # Errors
     ///
-    /// When it refused.
+    /// When the authority refused the request.
     pub fn answered(&mut self, response: &HttpResponse) -> Result<ErrandStep, AcmeError> {
         match self.session.absorb(response, self.step()) {
             Ok(Absorbed::Session) => return self.go_on(),
-            Ok(Absorbed::Yours) => {}
-            // Revoked before, as by a try whose answer was lost.
+            Ok(Absorbed::ForOwner) => {}
+            // Already revoked, for example by an earlier attempt whose response was lost.
             Err(error) if error.is("alreadyRevoked") => return Ok(self.done()),
             Err(error) => return Err(error),
         }
@@ -127,7 +127,7 @@
             let text = body["suggestedWindow"][name].as_str()?;
             OffsetDateTime::parse(text, &Rfc3339).ok().map(OffsetDateTime::unix_timestamp)
         };
-        // Section 4.2: a window whose end does not lie after its start is to be treated as none.
+        // RFC 9773 section 4.2: a window whose end is not after its start is treated as absent.
         let window = moment("start").zip(moment("end")).filter(|(start, end)| start < end);
         Ok(ErrandStep::Done(ErrandResult::Window(window, response.retry_after)))
     }
--- a/crates/lemoncleat-acme/src/jose.rs
+++ b/crates/lemoncleat-acme/src/jose.rs
@@ -1,4 +1,4 @@
-//! Signing: JWK, thumbprint and flattened JWS (RFC 7515, 7517, 7638, 8037), as RFC 8555 section 6.2 wants them.
+//! Signing: JWK, thumbprint and flattened JWS (RFC 7515, 7517, 7638, 8037), as RFC 8555 section 6.2 requires.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
     URL_SAFE_NO_PAD.encode(bytes)
 }
 
-/// The bytes of a text in base64url, with or without padding; `None` if it is none.
+/// Decodes base64url text, with or without padding; returns `None` if it is invalid.
 pub fn base64url(text: &str) -> Option<Vec<u8>> {
     URL_SAFE_NO_PAD.decode(text.trim_end_matches('=')).ok()
 }
@@ -29,14 +29,14 @@
     EdDsa,
 }
 
-enum Pair {
+enum AlgorithmKeyPair {
     Es256(EcdsaKeyPair),
     EdDsa(Ed25519KeyPair),
 }
 
-/// An account's key. Its bytes are PKCS #8; how they are kept is the holder's matter.
+/// An account's key pair. Its encoding is PKCS #8; storing it is up to the caller.
 pub struct AccountKey {
-    pair: Pair,
+    pair: AlgorithmKeyPair,
     random: SystemRandom,
 }
 
@@ -46,94 +46,97 @@
     }
 }
 
-/// A key that can't be used.
-fn refused(error: impl fmt::Display) -> String {
+/// Formats the error for a key that can't be used.
+fn key_error(error: impl fmt::Display) -> String {
     format!("the account's key can't be used: {error}")
 }
 
 impl AccountKey {
-    /// Makes a key; its PKCS #8 bytes are to be kept secret.
+    /// Generates a key and returns its PKCS #8 encoding, which must be kept secret.
     ///
     /// # Errors
     ///
-    /// When the system has no randomness.
+    /// When the system's random number generator fails.
     pub fn generate(kind: KeyKind) -> Result<Zeroizing<Vec<u8>>, String> {
         let random = SystemRandom::new();
         let bytes = match kind {
             KeyKind::Es256 => EcdsaKeyPair::generate_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, &random),
             KeyKind::EdDsa => Ed25519KeyPair::generate_pkcs8(&random),
         };
-        bytes.map(|document| Zeroizing::new(document.as_ref().to_vec())).map_err(refused)
+        bytes.map(|document| Zeroizing::new(document.as_ref().to_vec())).map_err(key_error)
     }
 
-    /// Takes a key's PKCS #8 bytes.
+    /// Parses a PKCS #8 key of the given kind.
     ///
     /// # Errors
     ///
-    /// When they are no such key, as when their file is cut off.
+    /// When the bytes are not such a key, for example because the file is truncated.
     pub fn from_pkcs8(kind: KeyKind, bytes: &[u8]) -> Result<AccountKey, String> {
         let random = SystemRandom::new();
         let pair = match kind {
-            KeyKind::Es256 => Pair::Es256(
+            KeyKind::Es256 => AlgorithmKeyPair::Es256(
                 EcdsaKeyPair::from_pkcs8(&ECDSA_P256_SHA256_FIXED_SIGNING, bytes, &random)
-                    .map_err(refused)?,
+                    .map_err(key_error)?,
             ),
-            KeyKind::EdDsa => Pair::EdDsa(Ed25519KeyPair::from_pkcs8(bytes).map_err(refused)?),
+            KeyKind::EdDsa => AlgorithmKeyPair::EdDsa(Ed25519KeyPair::from_pkcs8(bytes).map_err(key_error)?),
         };
         Ok(AccountKey { pair, random })
     }
 
-    /// Takes a key's PKCS #8 bytes of whichever kind they are.
+    /// Parses a PKCS #8 key of any supported kind.
     ///
     /// # Errors
     ///
-    /// When they are a key of no kind.
+    /// When the bytes are not a key of a supported kind.
     pub fn read(bytes: &[u8]) -> Result<AccountKey, String> {
         AccountKey::from_pkcs8(KeyKind::Es256, bytes)
             .or_else(|_| AccountKey::from_pkcs8(KeyKind::EdDsa, bytes))
     }
 
-    /// Its public half.
+    /// Returns the public key as a JWK.
     pub fn jwk(&self) -> Value {
         match &self.pair {
-            Pair::Es256(pair) => {
+            AlgorithmKeyPair::Es256(pair) => {
                 // 0x04, then both coordinates.
                 let point = pair.public_key().as_ref();
                 let (x, y) =
                     point.get(1..).unwrap_or_default().split_at(32.min(point.len().saturating_sub(1)));
                 json!({"crv": "P-256", "kty": "EC", "x": encode(x), "y": encode(y)})
             }
-            Pair::EdDsa(pair) => {
+            AlgorithmKeyPair::EdDsa(pair) => {
                 json!({"crv": "Ed25519", "kty": "OKP", "x": encode(pair.public_key().as_ref())})
             }
         }
     }
 
-    /// The key's thumbprint (RFC 7638): members in order, without space, which is how serde_json writes them.
+    /// Returns the key's thumbprint (RFC 7638). It needs members in lexicographic order without white space,
+    /// which is how serde_json writes them.
     pub fn thumbprint(&self) -> String {
         encode(digest::digest(&digest::SHA256, self.jwk().to_string().as_bytes()).as_ref())
     }
 
-    /// What answers a challenge's token (RFC 8555 section 8.1).
+    /// Returns the key authorization for a challenge's token (RFC 8555 section 8.1).
     pub fn key_authorization(&self, token: &str) -> String {
         format!("{token}.{}", self.thumbprint())
     }
 
     fn algorithm(&self) -> &'static str {
         match self.pair {
-            Pair::Es256(_) => "ES256",
-            Pair::EdDsa(_) => "EdDSA",
+            AlgorithmKeyPair::Es256(_) => "ES256",
+            AlgorithmKeyPair::EdDsa(_) => "EdDSA",
         }
     }
 
     fn signature(&self, bytes: &[u8]) -> Result<Vec<u8>, String> {
         match &self.pair {
-            Pair::Es256(pair) => pair.sign(&self.random, bytes).map(|s| s.as_ref().to_vec()).map_err(refused),
-            Pair::EdDsa(pair) => Ok(pair.sign(bytes).as_ref().to_vec()),
+            AlgorithmKeyPair::Es256(pair) => {
+                pair.sign(&self.random, bytes).map(|s| s.as_ref().to_vec()).map_err(key_error)
+            }
+            AlgorithmKeyPair::EdDsa(pair) => Ok(pair.sign(bytes).as_ref().to_vec()),
         }
     }
 
-    /// A request's body. An empty payload (`None`) is POST-as-GET.
+    /// Returns a request's signed body. An empty payload (`None`) is POST-as-GET.
     ///
     /// # Errors
     ///
@@ -160,7 +163,7 @@
         Ok(json!({"protected": protected, "payload": payload, "signature": encode(&signature)}).to_string())
     }
 
-    /// Binds a new account to one that the authority knows otherwise (section 7.3.4).
+    /// Returns the external account binding for a new account (section 7.3.4).
     pub fn external_binding(&self, key_id: &str, secret: &[u8], url: &str) -> Value {
         let protected = encode(json!({"alg": "HS256", "kid": key_id, "url": url}).to_string().as_bytes());
         let payload = encode(self.jwk().to_string().as_bytes());
@@ -169,7 +172,7 @@
         json!({"protected": protected, "payload": payload, "signature": encode(tag.as_ref())})
     }
 
-    /// The inner request of a key's roll-over, signed by the new key (section 7.3.5).
+    /// Returns the inner JWS of a key roll-over, signed by the new key (section 7.3.5).
     ///
     /// # Errors
     ///
@@ -177,16 +180,16 @@
     pub fn roll_over(&self, old: &AccountKey, account: &str, url: &str) -> Result<Value, String> {
         let protected = json!({"alg": self.algorithm(), "jwk": self.jwk(), "url": url});
         let text = self.flattened(&protected, Some(&json!({"account": account, "oldKey": old.jwk()})))?;
-        serde_json::from_str(&text).map_err(refused)
+        serde_json::from_str(&text).map_err(key_error)
     }
 }
 
-/// Who signs a request.
+/// The signer of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signer<'a> {
-    /// The key itself, before there is an account.
+    /// The key itself (`jwk`), before the account exists.
     Key,
-    /// The account of that URL.
+    /// The account with this URL (`kid`).
     Account(&'a str),
 }
 
@@ -200,7 +203,7 @@
     }
 
     #[test]
-    fn what_is_signed_verifies_with_the_public_half_and_says_what_it_must() {
+    fn signed_request_verifies_with_public_key_and_has_required_header_fields() {
         for kind in [KeyKind::Es256, KeyKind::EdDsa] {
             let bytes = AccountKey::generate(kind).expect("a key");
             let key = AccountKey::from_pkcs8(kind, &bytes).expect("the same key");
@@ -233,7 +236,7 @@
     }
 
     #[test]
-    fn the_thumbprint_is_that_of_rfc_8037() {
+    fn thumbprint_matches_rfc_8037_example() {
         // RFC 8037 appendix A.3 for the key of A.1.
         let jwk = json!({"crv": "Ed25519", "kty": "OKP", "x": "11qYAYKxCrfVS_7TyWQHOg7hcvPapiMlrwIaaPcHURo"});
         let print = encode(digest::digest(&digest::SHA256, jwk.to_string().as_bytes()).as_ref());
--- a/crates/lemoncleat-acme/src/lib.rs
+++ b/crates/lemoncleat-acme/src/lib.rs
@@ -1,12 +1,13 @@
-//! Certificates by ACME (RFC 8555), without I/O: what is signed and sent, and when certificates are renewed.
+//! ACME client (RFC 8555) without I/O: signs and builds requests, and plans certificate renewals.
 //!
 //! - [`AccountKey`] signs requests (JWS, RFC 7515; ES256 and EdDSA).
-//! - [`Order`] takes an order from the directory to the certificate: it says which request comes next and is told
-//!   each answer; its state can be stored after any step and taken up again. [`Errand`]s are what takes a request
-//!   or two: revocation, a new account key, renewal information.
-//! - [`planner`] decides when to renew, how failures are waited out, and which certificate is presented.
-//! - [`Renewer`] keeps a node in certificates with all of these: it is told the time and what came of its requests,
-//!   and says what to send, store and present.
+//! - [`Order`] takes an order from the directory to the certificate: it returns the next request and
+//!   processes each response; its state can be stored after any step and resumed. An [`Errand`] is an
+//!   operation of one or two requests: revocation, account key roll-over, renewal information.
+//! - [`planner`] decides when to renew, how long to back off after failures, and which certificate is
+//!   presented.
+//! - [`Renewer`] combines these to keep a node's certificate valid: its inputs are the time and the results
+//!   of its requests; its outputs say what to send, store and present.
 
 mod certificate;
 mod errand;
--- a/crates/lemoncleat-acme/src/order.rs
+++ b/crates/lemoncleat-acme/src/order.rs
@@ -1,4 +1,4 @@
-//! The course of an order (RFC 8555 section 7.4): which request comes next, and what each answer means.
+//! State machine of an order (RFC 8555 section 7.4): returns the next request and interprets each response.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -6,21 +6,21 @@
 use crate::jose::encode;
 use crate::session::{problem, Absorbed, Account, AcmeError, HttpRequest, HttpResponse, Session, Step};
 
-/// Most other chains of a certificate that are fetched.
-const ALTERNATES: usize = 4;
+/// Maximum number of alternate chains fetched for a certificate.
+const MAX_ALTERNATE_CHAINS: usize = 4;
 
-/// How a name is proven.
+/// The challenge by which control of a name is proven.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChallengeKind {
     /// A file under a well-known path (section 8.3).
     #[default]
     Http01,
-    /// A certificate in a handshake (RFC 8737).
+    /// A certificate presented in a TLS handshake (RFC 8737).
     TlsAlpn01,
 }
 
 impl ChallengeKind {
-    /// Its name on the wire.
+    /// Returns the challenge type's name on the wire.
     pub fn name(self) -> &'static str {
         match self {
             ChallengeKind::Http01 => "http-01",
@@ -29,23 +29,23 @@
     }
 }
 
-/// What has to be found by the authority.
+/// The challenge response that the authority must find when it validates a name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Proof {
-    /// How.
+    /// The challenge type.
     pub kind: ChallengeKind,
-    /// The name to be proven.
+    /// The DNS name to be validated.
     pub name: String,
-    /// The challenge's token, nothing but base64url.
+    /// The challenge's token, base64url characters only.
     pub token: String,
-    /// The key authorization: the file's content, or what the certificate holds the digest of.
+    /// The key authorization: the content of the file, or the value whose digest the certificate contains.
     pub authorization: String,
 }
 
-/// What is stored of an order between two steps.
+/// The part of an order's state that is stored between two steps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stored {
-    /// The names that it is for.
+    /// The names that the order is for.
     pub names: Vec<String>,
     /// The account's URL.
     pub account: Option<String>,
@@ -53,20 +53,20 @@
     pub order: Option<String>,
 }
 
-/// What is to be done next.
+/// The next step of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// Send this and tell the answer.
+    /// Send this request and pass the response to [`Order::answered`].
     Send(HttpRequest),
-    /// Send this after so many seconds.
+    /// Send this request after the given number of seconds.
     Wait(i64, HttpRequest),
-    /// Put the proof in place, then call [`Order::proven`].
+    /// Provision the challenge response, then call [`Order::proven`].
     Prove(Proof),
-    /// The certificate's chains, PEM: the authority's own first, then the others that it offers.
+    /// The certificate's chains, PEM: the authority's default chain first, then the alternates.
     Done(Vec<String>),
 }
 
-/// An order on its way.
+/// An order in progress.
 #[derive(Debug)]
 pub struct Order {
     session: Session,
@@ -85,7 +85,7 @@
 }
 
 impl Order {
-    /// A new order. The CSR is DER and holds the names.
+    /// Creates an order. The CSR is DER and contains the names.
     pub fn new(account: Account, names: &[String], kind: ChallengeKind, csr: Vec<u8>) -> Self {
         Order {
             session: Session::new(account),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Takes an order up where it was stored: the authority is asked how it stands, so that none is placed twice.
+    /// Resumes a stored order: its status is fetched from the authority, so that no order is placed twice.
     #[must_use]
     pub fn resume(mut self, stored: &Stored) -> Self {
         self.session.account.url = stored.account.clone().or(self.session.account.url.take());
@@ -114,7 +114,7 @@
         self
     }
 
-    /// What to store, after each step.
+    /// Returns the state to store after each step.
     pub fn stored(&self) -> Stored {
         Stored {
             names: self.names.clone(),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Where it is.
+    /// Returns the current step.
     pub fn step(&self) -> Step {
         self.session.step().unwrap_or(self.step)
     }
@@ -132,42 +132,42 @@
         self.session.error(self.step, detail)
     }
 
-    fn known(&self, url: &Option<String>, what: &str) -> Result<String, AcmeError> {
-        url.clone().ok_or_else(|| self.error(format!("the authority told no {what}")))
+    fn require(&self, url: &Option<String>, what: &str) -> Result<String, AcmeError> {
+        url.clone().ok_or_else(|| self.error(format!("the authority sent no {what}")))
     }
 
-    /// The next thing to do.
+    /// Returns the next step.
     ///
     /// # Errors
     ///
-    /// When the authority left something out that the step needs.
+    /// When the authority has omitted something that the step needs.
     pub fn go_on(&mut self) -> Result<Progress, AcmeError> {
-        if let Some(request) = self.session.before(true)? {
+        if let Some(request) = self.session.prerequisite(true)? {
             return Ok(Progress::Send(request));
         }
-        if std::mem::take(&mut self.session.forgotten) {
+        if std::mem::take(&mut self.session.account_lost) {
             (self.order, self.step) = (None, Step::NewOrder);
         }
         let (url, payload) = match self.step {
-            // Placed before a restart: how does it stand?
-            Step::NewOrder if self.order.is_some() => (self.known(&self.order, "order URL")?, None),
+            // The order was placed before a restart: fetch its status.
+            Step::NewOrder if self.order.is_some() => (self.require(&self.order, "order URL")?, None),
             Step::NewOrder => {
                 let named = |name: &String| json!({"type": "dns", "value": name});
                 let identifiers: Vec<Value> = self.names.iter().map(named).collect();
                 (self.session.url("newOrder")?, Some(json!({"identifiers": identifiers})))
             }
-            Step::Authorization | Step::Validation => (self.known(&self.current, "authorization")?, None),
-            Step::Challenge => (self.known(&self.challenge, "challenge")?, Some(json!({}))),
+            Step::Authorization | Step::Validation => (self.require(&self.current, "authorization")?, None),
+            Step::Challenge => (self.require(&self.challenge, "challenge")?, Some(json!({}))),
             Step::Finalize => {
-                (self.known(&self.finalize, "finalize URL")?, Some(json!({"csr": encode(&self.csr)})))
+                (self.require(&self.finalize, "finalize URL")?, Some(json!({"csr": encode(&self.csr)})))
             }
             Step::Download if !self.chains.is_empty() => {
                 let Some(url) = self.alternates.pop() else { return Ok(self.done()) };
                 (url, None)
             }
-            Step::Download => (self.known(&self.certificate, "certificate URL")?, None),
+            Step::Download => (self.require(&self.certificate, "certificate URL")?, None),
             Step::Done => return Ok(self.done()),
-            _ => (self.known(&self.order, "order URL")?, None),
+            _ => (self.require(&self.order, "order URL")?, None),
         };
         Ok(Progress::Send(self.session.post(url, payload.as_ref())?))
     }
@@ -177,7 +177,7 @@
         Progress::Done(self.chains.clone())
     }
 
-    /// The proof asked for is in place.
+    /// Continues once the challenge response is provisioned.
     ///
     /// # Errors
     ///
@@ -187,36 +187,36 @@
         self.go_on()
     }
 
-    /// The authority answered the last request.
+    /// Processes the authority's response to the last request.
     ///
     /// # Errors
     ///
-    /// When it refused, or said something that makes no sense here.
+    /// When the authority refused the request, or its response is not valid in this step.
     pub fn answered(&mut self, response: &HttpResponse) -> Result<Progress, AcmeError> {
         match self.session.absorb(response, self.step) {
             Ok(Absorbed::Session) => return self.go_on(),
-            Ok(Absorbed::Yours) => {}
-            Err(error) => return self.refused(error, response.status),
+            Ok(Absorbed::ForOwner) => {}
+            Err(error) => return self.handle_refusal(error, response.status),
         }
         let body = || serde_json::from_slice::<Value>(&response.body).unwrap_or(Value::Null);
         match self.step {
             Step::NewOrder => {
                 if self.order.is_none() {
-                    self.order = Some(self.known(&response.location, "order URL")?);
+                    self.order = Some(self.require(&response.location, "order URL")?);
                 }
-                self.order_told(&body(), response.retry_after)
+                self.handle_order(&body(), response.retry_after)
             }
-            Step::Authorization => self.authorization_told(&body()),
+            Step::Authorization => self.handle_authorization(&body()),
             Step::Challenge => {
                 self.step = Step::Validation;
                 let request = self.go_on()?;
-                Ok(later(request, response.retry_after.unwrap_or(1)))
+                Ok(after_delay(request, response.retry_after.unwrap_or(1)))
             }
             Step::Validation => match body()["status"].as_str() {
                 Some("valid") => self.next_authorization(),
                 Some("pending" | "processing") => {
                     let request = self.go_on()?;
-                    Ok(later(request, response.retry_after.unwrap_or(1)))
+                    Ok(after_delay(request, response.retry_after.unwrap_or(1)))
                 }
                 other => {
                     let detail = problem(&body()["challenges"]).1;
@@ -229,13 +229,14 @@
                     return Err(self.error("what was fetched is no certificate in PEM"));
                 }
                 if self.chains.is_empty() {
-                    self.alternates = response.alternates.iter().take(ALTERNATES).rev().cloned().collect();
+                    self.alternates =
+                        response.alternates.iter().take(MAX_ALTERNATE_CHAINS).rev().cloned().collect();
                 }
                 self.chains.push(text);
                 self.go_on()
             }
             Step::Done => Ok(self.done()),
-            _ => self.order_told(&body(), response.retry_after),
+            _ => self.handle_order(&body(), response.retry_after),
         }
     }
 
@@ -245,18 +246,18 @@
         error
     }
 
-    fn refused(&mut self, error: AcmeError, status: u16) -> Result<Progress, AcmeError> {
+    fn handle_refusal(&mut self, error: AcmeError, status: u16) -> Result<Progress, AcmeError> {
         if self.step == Step::NewOrder && self.order.is_some() && status == 404 {
-            // The stored order is forgotten there: place a new one.
+            // The authority no longer knows the stored order: place a new one.
             self.order = None;
             return self.go_on();
         }
         if self.step == Step::Download && !self.chains.is_empty() {
-            // Another chain is not to be had: those that are there do.
+            // An alternate chain can't be fetched: the chains already fetched suffice.
             return self.go_on();
         }
         if error.is("orderNotReady") && self.step == Step::Finalize {
-            // Section 7.4: it is asked how it stands.
+            // Section 7.4: fetch the order's status.
             self.step = Step::Issuance;
             return self.go_on();
         }
@@ -266,7 +267,7 @@
         Err(error)
     }
 
-    fn order_told(&mut self, order: &Value, retry_after: Option<i64>) -> Result<Progress, AcmeError> {
+    fn handle_order(&mut self, order: &Value, retry_after: Option<i64>) -> Result<Progress, AcmeError> {
         self.finalize = order["finalize"].as_str().map(str::to_owned).or(self.finalize.take());
         self.certificate = order["certificate"].as_str().map(str::to_owned);
         match order["status"].as_str() {
@@ -286,7 +287,7 @@
             Some("processing") => {
                 self.step = Step::Issuance;
                 let request = self.go_on()?;
-                Ok(later(request, retry_after.unwrap_or(1)))
+                Ok(after_delay(request, retry_after.unwrap_or(1)))
             }
             Some("valid") => {
                 self.step = Step::Download;
@@ -305,13 +306,13 @@
                 self.current = Some(url);
                 self.step = Step::Authorization;
             }
-            // All are proven: the order says whether it is ready.
+            // All authorizations are valid: fetch the order to see whether it is ready.
             None => self.step = Step::Issuance,
         }
         self.go_on()
     }
 
-    fn authorization_told(&mut self, authorization: &Value) -> Result<Progress, AcmeError> {
+    fn handle_authorization(&mut self, authorization: &Value) -> Result<Progress, AcmeError> {
         match authorization["status"].as_str() {
             Some("valid") => return self.next_authorization(),
             Some("pending") => {}
@@ -328,15 +329,17 @@
         };
         let fits = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if token.is_empty() || !token.chars().all(fits) {
-            // It becomes part of a path: nothing but base64url (section 8.3).
-            return Err(self.error(format!("a token of other characters than base64url: {token:?}")));
+            // The token becomes part of a path, so only base64url characters are accepted (section 8.3).
+            return Err(
+                self.error(format!("the challenge token has characters outside base64url: {token:?}"))
+            );
         }
         self.challenge = Some(url.to_owned());
         if challenge["status"] == "processing" {
-            // Answered before a restart: what comes of it?
+            // The challenge was answered before a restart: poll for its outcome.
             self.step = Step::Validation;
             let request = self.go_on()?;
-            return Ok(later(request, 1));
+            return Ok(after_delay(request, 1));
         }
         self.step = Step::Challenge;
         Ok(Progress::Prove(Proof {
@@ -348,7 +351,7 @@
     }
 }
 
-fn later(progress: Progress, seconds: i64) -> Progress {
+fn after_delay(progress: Progress, seconds: i64) -> Progress {
     match progress {
         Progress::Send(request) => Progress::Wait(seconds.max(0), request),
         other => other,
--- a/crates/lemoncleat-acme/src/planner.rs
+++ b/crates/lemoncleat-acme/src/planner.rs
@@ -1,43 +1,43 @@
-//! When certificates are renewed. Decisions only: no clock, no files, no network.
+//! Plans certificate renewals. Pure functions: no clock, no files, no network.
 //!
-//! Times are seconds since 1970, as certificates have them.
+//! Times are seconds since 1970, as in certificates.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Seconds since 1970, or a span of seconds.
+/// Seconds since 1970, or a duration in seconds.
 pub type Seconds = i64;
 
-/// From when to when a certificate is valid.
+/// The validity period of a certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Validity {
-    /// It is not valid before this.
+    /// Start of validity, inclusive.
     pub from: Seconds,
-    /// Nor from this on.
+    /// End of validity, exclusive.
     pub until: Seconds,
 }
 
 impl Validity {
-    /// Whether it is valid at a moment.
+    /// Returns whether the certificate is valid at this time.
     pub fn holds(&self, now: Seconds) -> bool {
         self.from <= now && now < self.until
     }
 }
 
-/// How renewals are planned.
+/// Renewal policy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Share of its life after which a certificate is renewed.
+    /// Fraction of its lifetime after which a certificate is renewed.
     pub share: f64,
-    /// Share of its life over which the nodes of a fleet spread their renewals.
+    /// Fraction of its lifetime over which the nodes of a fleet spread their renewals.
     pub spread: f64,
-    /// Wait after the first failure; it doubles.
+    /// Back-off after the first failure; doubles with each further failure.
     pub first_wait: Seconds,
-    /// Longest wait between tries.
+    /// Maximum back-off between attempts.
     pub most_wait: Seconds,
-    /// As expiry nears, no wait is longer than the time that is left divided by this.
+    /// Near expiry, no back-off is longer than the remaining lifetime divided by this.
     pub tighten: Seconds,
-    /// Shortest wait between tries, however near expiry is.
+    /// Minimum back-off between attempts, however near expiry is.
     pub least_wait: Seconds,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// What is known when a renewal is planned.
+/// The inputs of a renewal decision.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Situation {
     /// The newest certificate, if there is one.
@@ -63,26 +63,27 @@
     pub suggested: Option<(Seconds, Seconds)>,
     /// Failures in a row since the last success.
     pub failures: u32,
-    /// When the last of them was.
+    /// Time of the last failure.
     pub failed_at: Seconds,
-    /// The authority said not to come back before this (Retry-After).
+    /// The authority asked for no request before this time (Retry-After).
     pub not_before: Option<Seconds>,
 }
 
-/// Names a node among those that renew the same kind of certificate, so that they do not all come at once.
+/// Seed that differs between nodes renewing the same kind of certificate, so that their renewals are spread.
 pub type NodeSeed = u64;
 
-/// When the next try is due; at or before the present means now.
+/// Returns when the next attempt is due; a time that is not in the future means now.
 ///
-/// Without a certificate that is at once. Otherwise a moment drawn for this node from the window that the
-/// authority suggests, or from the spread around the policy's share of life. After failures the waits double,
-/// with jitter, and tighten as expiry nears, but what the authority asks for is always heeded.
+/// Without a certificate the attempt is due at once. Otherwise a time is drawn for this node from the window
+/// that the authority suggests, or from the spread around the policy's fraction of the lifetime. After
+/// failures the back-off doubles, with jitter, and is shortened near expiry, but Retry-After is always
+/// honoured.
 pub fn next_try(situation: &Situation, policy: &Policy, seed: NodeSeed) -> Seconds {
     let planned = match situation.newest {
         None => Seconds::MIN,
         Some(validity) => {
             let life = (validity.until - validity.from).max(1);
-            // The same certificate gives the same moment, whenever it is asked for.
+            // Seeded by the certificate, so that repeated calls return the same time.
             let mut rng = SmallRng::seed_from_u64(seed ^ (validity.from as u64).rotate_left(32));
             let draw: f64 = rng.random();
             match situation.suggested.filter(|(from, to)| from < to) {
@@ -99,18 +100,19 @@
         let doubled =
             policy.first_wait.saturating_mul(1 << (situation.failures - 1).min(30)).min(policy.most_wait);
         let left = situation.newest.map_or(0, |validity| (validity.until - situation.failed_at).max(0));
-        let tight = if left > 0 { (left / policy.tighten.max(1)).max(policy.least_wait) } else { doubled };
-        let most = doubled.min(tight).max(policy.least_wait);
+        let expiry_limit =
+            if left > 0 { (left / policy.tighten.max(1)).max(policy.least_wait) } else { doubled };
+        let longest = doubled.min(expiry_limit).max(policy.least_wait);
         let mut rng =
             SmallRng::seed_from_u64(seed ^ u64::from(situation.failures) ^ situation.failed_at as u64);
-        let wait = most - rng.random_range(0..=most / 4);
+        let wait = longest - rng.random_range(0..=longest / 4);
         due = due.max(situation.failed_at + wait);
     }
     due.max(situation.not_before.unwrap_or(Seconds::MIN))
 }
 
-/// Which of a name's certificates is presented to new handshakes: the valid one that lasts longest. With none
-/// valid, none: an expired certificate is never shown.
+/// Returns the index of the certificate to present in new handshakes: the valid one that expires last.
+/// Returns `None` if none is valid: an expired certificate is never presented.
 pub fn present(certificates: &[Validity], now: Seconds) -> Option<usize> {
     let valid = certificates.iter().enumerate().filter(|(_, validity)| validity.holds(now));
     valid.max_by_key(|(_, validity)| validity.until).map(|(index, _)| index)
@@ -127,30 +129,33 @@
     }
 
     #[test]
-    fn without_a_certificate_it_is_due_at_once_and_otherwise_around_two_thirds_of_its_life() {
+    fn renewal_is_due_at_once_without_certificate_and_near_two_thirds_of_lifetime_with_one() {
         let policy = Policy::default();
         assert_eq!(next_try(&Situation::default(), &policy, 1), Seconds::MIN);
         let validity = Validity { from: 1_000, until: 1_000 + 90 * DAY };
         for seed in 0..200 {
             let due = next_try(&at(validity), &policy, seed);
             assert!((1_000 + 55 * DAY..1_000 + 65 * DAY).contains(&due));
-            assert_eq!(due, next_try(&at(validity), &policy, seed), "asked again, it is the same");
+            assert_eq!(due, next_try(&at(validity), &policy, seed), "repeated calls return the same time");
         }
     }
 
     #[test]
-    fn the_window_of_the_authority_is_kept() {
+    fn renewal_falls_within_suggested_window() {
         let validity = Validity { from: 0, until: 90 * DAY };
         let situation = Situation { suggested: Some((20 * DAY, 21 * DAY)), ..at(validity) };
         let dues: Vec<Seconds> =
             (0..500).map(|seed| next_try(&situation, &Policy::default(), seed)).collect();
         assert!(dues.iter().all(|due| (20 * DAY..21 * DAY).contains(due)));
         let first_half = dues.iter().filter(|due| **due < 20 * DAY + DAY / 2).count();
-        assert!((200..300).contains(&first_half), "all of it is used: {first_half}");
+        assert!(
+            (200..300).contains(&first_half),
+            "times are spread over the whole window: {first_half} in its first half"
+        );
     }
 
     #[test]
-    fn a_thousand_nodes_do_not_come_at_once() {
+    fn renewals_of_1000_nodes_are_spread() {
         let validity = Validity { from: 0, until: 90 * DAY };
         let mut hours = std::collections::BTreeMap::new();
         for seed in 0..1_000 {
@@ -161,7 +166,7 @@
     }
 
     #[test]
-    fn failures_are_waited_out_longer_and_longer_but_never_past_expiry() {
+    fn backoff_grows_with_failures_but_never_passes_expiry() {
         let policy = Policy::default();
         let validity = Validity { from: 0, until: 90 * DAY };
         let mut waits = Vec::new();
@@ -172,7 +177,7 @@
         }
         assert!(waits[0] <= 60 && waits.windows(2).all(|pair| pair[1] as f64 > pair[0] as f64 * 0.7));
         assert!(*waits.last().expect("some") > 4 * 3_600);
-        // The authority is away until shortly before expiry: how late is the last try before it?
+        // The authority is unreachable until expiry: the last attempt must come shortly before it.
         let (mut now, mut failures, mut tries) = (60 * DAY, 0, 0);
         loop {
             let situation = Situation { failures, failed_at: now, ..at(validity) };
@@ -187,14 +192,14 @@
     }
 
     #[test]
-    fn what_the_authority_asks_for_is_heeded_even_near_expiry() {
+    fn retry_after_is_honoured_even_near_expiry() {
         let validity = Validity { from: 0, until: 1_000 };
         let situation = Situation { failures: 3, failed_at: 950, not_before: Some(990), ..at(validity) };
         assert_eq!(next_try(&situation, &Policy::default(), 1), 990);
     }
 
     #[test]
-    fn an_expired_or_future_certificate_is_never_presented() {
+    fn expired_or_not_yet_valid_certificate_is_not_presented() {
         let all = [
             Validity { from: 0, until: 100 },
             Validity { from: 50, until: 200 },
@@ -204,6 +209,6 @@
         assert_eq!(present(&all, 160), Some(2));
         assert_eq!(present(&all, 400), None);
         assert_eq!(present(&all, -1), None);
-        assert_eq!(present(&all[..1], 100), None, "not from the end on");
+        assert_eq!(present(&all[..1], 100), None, "the end of validity is exclusive");
     }
 }
--- a/crates/lemoncleat-acme/src/renewer.rs
+++ b/crates/lemoncleat-acme/src/renewer.rs
@@ -1,8 +1,9 @@
-//! Keeps a node in certificates: when to look, order, wait, give up, and what to present.
+//! State machine that keeps a node's certificate valid: decides when to check storage, order, wait or give
+//! up, and which certificate to present.
 //!
-//! Decisions and their course only. A driver carries the outputs out in their order and tells what came of them;
-//! each that stores something is to be on disk before the next is begun, so that a process that is killed between
-//! any two finds its way (see [`Renewer::new`]). Nodes that share their storage share the outcome of tries, too, and
+//! It does no I/O. A driver executes the outputs in order and reports their results; each output that stores
+//! something must be on disk before the next one is started, so that a process killed between any two can
+//! recover (see [`Renewer::new`]). Nodes that share their storage also share the outcome of attempts, and
 //! hold a lock while they order, so that there is one order for their names.
 
 use std::sync::Arc;
@@ -15,64 +16,64 @@
 use crate::planner::{self, NodeSeed, Policy, Seconds, Situation, Validity};
 use crate::session::{Account, AcmeError, HttpRequest, HttpResponse, Step};
 
-/// Certificates that are kept however long they are over, for a clock that goes back.
-const KEEP: usize = 3;
-/// How often nothing valid to present is said again.
-const SAY_AGAIN: Seconds = 60;
-/// Longest that an authority's Retry-After is heeded: a day.
-const LONGEST_RETRY: Seconds = 86_400;
-/// How often renewal information is asked for at the least and at the most.
-const INFO_EVERY: (Seconds, Seconds) = (60, 86_400);
+/// Certificates kept however long ago they expired, in case the clock is set back.
+const MIN_CERTIFICATES_KEPT: usize = 3;
+/// Interval between notices that no valid certificate is available.
+const NOTHING_VALID_NOTICE_INTERVAL_S: Seconds = 60;
+/// Upper limit applied to an authority's Retry-After: a day.
+const MAX_RETRY_AFTER_S: Seconds = 86_400;
+/// Shortest and longest interval between requests for renewal information.
+const RENEWAL_INFO_INTERVAL_S: (Seconds, Seconds) = (60, 86_400);
 
-/// How a node's certificates are renewed.
+/// Settings of a renewer.
 #[derive(Clone, Debug)]
 pub struct RenewerSettings {
-    /// The names that a certificate must hold.
+    /// The names that a certificate must cover.
     pub names: Vec<String>,
-    /// How they are proven.
+    /// The challenge type used to prove them.
     pub challenge: ChallengeKind,
-    /// Of several chains, the one whose last issuer's name holds this.
+    /// Prefer the chain whose last issuer's name contains this.
     pub preferred_chain: Option<String>,
-    /// When.
+    /// When certificates are renewed.
     pub policy: Policy,
-    /// What tells this node's moments from others'.
+    /// Seed that spreads this node's renewals from those of others.
     pub seed: NodeSeed,
-    /// A try that has lasted so long is given up.
+    /// Time after which an attempt is given up.
     pub order_time: Seconds,
-    /// How often storage is looked at for what others have put there.
+    /// Interval at which storage is checked for changes by other processes.
     pub look_every: Seconds,
 }
 
-/// What came of the latest tries, as it is stored.
+/// The stored outcome of the latest attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tried {
     /// Failures in a row.
     pub failures: u32,
-    /// When the last of them was.
+    /// Time of the last failure.
     pub failed_at: Seconds,
-    /// The authority wants no request before this.
+    /// The authority asked for no request before this time.
     pub not_before: Option<Seconds>,
-    /// What the last one was.
+    /// The error of the last failure.
     pub error: String,
 }
 
 /// A certificate in storage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// Its name there.
+    /// Its identifier in storage.
     pub id: String,
-    /// What it says.
+    /// The parsed chain.
     pub chain: Chain,
 }
 
-/// Storage as it was found.
+/// The state read from storage.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Certificates with their keys, those of other names left out.
+    /// Certificates that have their key; those for other names are left out.
     pub certificates: Vec<Held>,
-    /// What came of the latest tries.
+    /// The outcome of the latest attempts.
     pub tried: Tried,
-    /// An order under way, with the key that it is for.
+    /// An order in progress whose key is stored.
     pub order: Option<Stored>,
 }
 
@@ -85,82 +86,83 @@
     pub public_key: Vec<u8>,
 }
 
-/// What a renewer is told.
+/// Inputs of a renewer.
 #[derive(Clone, Debug)]
 pub enum RenewerInput {
     /// Time has passed: at or after [`Renewer::due`], or sooner.
     Tick,
-    /// Storage was looked at.
+    /// Storage was read.
     Looked(Snapshot),
-    /// The lock is held, and this is how storage stands.
+    /// The lock is held; contains the state of storage.
     Locked(Snapshot),
     /// Another process holds the lock.
     Busy,
-    /// The key and the request that were asked for.
+    /// The requested key and CSR.
     Prepared(Prepared),
     /// The authority answered.
     Answered(HttpResponse),
-    /// No answer came: no connection, no time, no HTTP.
+    /// No response: connection failure, time-out or invalid HTTP.
     NoAnswer(String),
-    /// The proof is in place.
+    /// The challenge response is provisioned.
     Proven,
     /// The certificate is stored.
     Stored(Held),
-    /// Something could not be stored, prepared or put in place.
+    /// Something could not be stored, prepared or provisioned.
     Failed(String),
-    /// An operator wants a new certificate whatever the plan says.
+    /// An operator requests a new certificate regardless of the plan.
     RenewNow,
 }
 
-/// What a renewer asks for.
+/// Outputs of a renewer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RenewerOutput {
-    /// Look at storage: answered with [`RenewerInput::Looked`].
+    /// Read storage: answered with [`RenewerInput::Looked`].
     Look,
-    /// Take the lock: [`RenewerInput::Locked`] or [`RenewerInput::Busy`].
+    /// Take the lock: answered with [`RenewerInput::Locked`] or [`RenewerInput::Busy`].
     Lock,
-    /// Give it back.
+    /// Release the lock.
     Unlock,
-    /// Take the key of the order under way, or make and store a new one: [`RenewerInput::Prepared`].
+    /// Load the key of the order in progress, or create and store a new one: answered with
+    /// [`RenewerInput::Prepared`].
     Prepare {
-        /// A new one.
+        /// Whether to create a new key.
         fresh: bool,
     },
-    /// Store how the order stands.
+    /// Store the order's state.
     StoreOrder(Stored),
-    /// Forget the order and its key.
+    /// Delete the order and its key.
     DropOrder,
-    /// Store this chain with the order's key, and forget the order: [`RenewerInput::Stored`].
+    /// Store this chain with the order's key and delete the order: answered with [`RenewerInput::Stored`].
     StoreCertificate(String),
-    /// Forget a certificate that is long over.
+    /// Delete a certificate that expired long ago.
     DropCertificate(String),
-    /// Store what came of the latest tries.
+    /// Store the outcome of the latest attempts.
     StoreTried(Tried),
-    /// Ask the authority: [`RenewerInput::Answered`] or [`RenewerInput::NoAnswer`].
+    /// Send to the authority: answered with [`RenewerInput::Answered`] or [`RenewerInput::NoAnswer`].
     Send(HttpRequest),
-    /// Put a proof in place: [`RenewerInput::Proven`].
+    /// Provision a challenge response: answered with [`RenewerInput::Proven`].
     Prove(Proof),
-    /// Take proofs away.
+    /// Remove all challenge responses.
     Unprove,
-    /// Present this certificate to new handshakes, or none.
+    /// Present this certificate in new handshakes, or none.
     Present(Option<String>),
-    /// Something worth a log line.
+    /// An event to log.
     Notice(RenewerNotice),
 }
 
-/// What an operator should know.
+/// Events reported to the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RenewerNotice {
-    /// A new certificate is there, until then.
+    /// A new certificate was stored; contains the end of its validity.
     Renewed(Seconds),
-    /// A try failed; the next is due then.
+    /// An attempt failed.
     TryFailed {
-        /// Why.
+        /// The error.
         error: String,
-        /// When it is tried again.
+        /// When the next attempt is due.
         again: Seconds,
     },
-    /// There is nothing valid to present: new handshakes are refused.
+    /// No valid certificate is available: new handshakes are refused.
     NothingValid,
 }
 
@@ -174,7 +176,7 @@
     Asking(Box<Errand>),
 }
 
-/// Keeps one set of names in certificates.
+/// Keeps a valid certificate for one set of names.
 #[derive(Debug)]
 pub struct Renewer {
     settings: RenewerSettings,
@@ -182,20 +184,21 @@
     certificates: Vec<Held>,
     tried: Tried,
     stored: Option<Stored>,
-    /// Certificate identifier and window of the latest renewal information.
+    /// Certificate identifier and suggested window from the latest renewal information.
     suggested: Option<(String, (Seconds, Seconds))>,
     info_at: Seconds,
-    look_at: Seconds,
+    storage_check_at: Seconds,
     work: Work,
-    began: Seconds,
+    order_started_at: Seconds,
     presented: Option<Option<String>>,
-    said: Seconds,
-    now_please: bool,
+    nothing_valid_notice_at: Seconds,
+    renew_requested: bool,
 }
 
 impl Renewer {
-    /// A renewer that knows nothing but storage as it was found. After a kill that is all there is: an order that
-    /// was stored is asked after, one that was not was never placed or will lapse.
+    /// Creates a renewer from the state read from storage. After a kill that is the only state left: the
+    /// status of a stored order is fetched; an order that was not stored was never placed or will expire at
+    /// the authority.
     pub fn new(settings: RenewerSettings, account: Account, found: Snapshot) -> Renewer {
         let mut renewer = Renewer {
             settings,
@@ -205,25 +208,26 @@
             stored: None,
             suggested: None,
             info_at: Seconds::MIN,
-            look_at: Seconds::MIN,
+            storage_check_at: Seconds::MIN,
             work: Work::Idle,
-            began: Seconds::MIN,
+            order_started_at: Seconds::MIN,
             presented: None,
-            said: Seconds::MIN,
-            now_please: false,
+            nothing_valid_notice_at: Seconds::MIN,
+            renew_requested: false,
         };
-        renewer.adopt(found);
+        renewer.load_snapshot(found);
         renewer
     }
 
-    fn adopt(&mut self, found: Snapshot) {
+    fn load_snapshot(&mut self, found: Snapshot) {
         self.certificates = found.certificates;
         self.tried = found.tried;
         self.stored = found.order;
     }
 
-    /// The certificate after which the next is due: the last of those that hold now or follow them without a gap.
-    /// With nothing valid, one of the future is no reason to wait for it.
+    /// Returns the certificate whose end determines the next renewal: the last of those that are valid now or
+    /// follow them without a gap. If none is valid now, a certificate that becomes valid later does not delay
+    /// the renewal.
     fn newest(&self, now: Seconds) -> Option<&Held> {
         let valid = self.certificates.iter().filter(|held| held.chain.validity.holds(now));
         let covered = valid.map(|held| held.chain.validity.until).max()?;
@@ -242,33 +246,33 @@
             suggested: suggested.map(|(_, window)| *window),
             failures: self.tried.failures,
             failed_at: self.tried.failed_at,
-            not_before: self.tried.not_before.map(|at| at.min(now + LONGEST_RETRY)),
+            not_before: self.tried.not_before.map(|at| at.min(now + MAX_RETRY_AFTER_S)),
         }
     }
 
-    /// When the next certificate is due to be ordered.
+    /// Returns when the next certificate is due to be ordered.
     pub fn next_order(&self, now: Seconds) -> Seconds {
-        if self.now_please {
+        if self.renew_requested {
             return now;
         }
         planner::next_try(&self.situation(now), &self.settings.policy, self.settings.seed)
     }
 
-    /// What came of the latest tries.
+    /// Returns the outcome of the latest attempts.
     pub fn tried(&self) -> &Tried {
         &self.tried
     }
 
-    /// Whether nothing is under way.
+    /// Returns whether nothing is in progress.
     pub fn is_idle(&self) -> bool {
         matches!(self.work, Work::Idle)
     }
 
-    /// When to call with [`RenewerInput::Tick`] at the latest. The wall clock may jump: a driver should not sleep
-    /// for long at once.
+    /// Returns the latest time at which to call with [`RenewerInput::Tick`]. The wall clock may jump, so a
+    /// driver should sleep in short intervals.
     pub fn due(&self, now: Seconds) -> Seconds {
         let work = match &self.work {
-            Work::Idle => self.next_order(now).min(self.look_at),
+            Work::Idle => self.next_order(now).min(self.storage_check_at),
             Work::Ordering { waiting: Some((since, until, _)), .. } if now >= *since => *until,
             _ => now + 1,
         };
@@ -277,31 +281,31 @@
         work.min(changes.unwrap_or(Seconds::MAX)).max(now)
     }
 
-    /// Takes an input and adds what is to be done.
+    /// Processes an input and appends the resulting outputs.
     pub fn handle(&mut self, now: Seconds, input: RenewerInput, out: &mut Vec<RenewerOutput>) {
         if self.tried.failed_at > now {
-            // A clock that went back must not make a wait of days out of minutes.
+            // If the clock was set back, a back-off of minutes must not become one of days.
             self.tried.failed_at = now;
             out.push(RenewerOutput::StoreTried(self.tried.clone()));
         }
         match input {
             RenewerInput::Tick => self.tick(now, out),
             RenewerInput::RenewNow => {
-                self.now_please = true;
+                self.renew_requested = true;
                 self.tick(now, out);
             }
             RenewerInput::Looked(found) => {
-                // While ordering, storage is this process's own.
+                // While ordering, this process holds the lock and only it changes storage.
                 if matches!(self.work, Work::Idle | Work::Asking(_)) {
-                    self.adopt(found);
+                    self.load_snapshot(found);
                 }
             }
             RenewerInput::Locked(found) => self.locked(now, found, out),
             RenewerInput::Busy => {
                 if matches!(self.work, Work::Locking) {
                     self.work = Work::Idle;
-                    // What the other one is doing shows in storage.
-                    self.look_at = now + 1;
+                    // Check storage soon for the result of the other process.
+                    self.storage_check_at = now + 1;
                 }
             }
             RenewerInput::Prepared(prepared) => self.prepared(now, prepared, out),
@@ -309,7 +313,7 @@
             RenewerInput::NoAnswer(why) => match &self.work {
                 Work::Ordering { order, .. } => {
                     let step = order.step();
-                    self.failed(now, plain(step, why), out);
+                    self.failed(now, local_error(step, why), out);
                 }
                 Work::Asking(_) => self.work = Work::Idle,
                 _ => {}
@@ -323,7 +327,7 @@
             RenewerInput::Stored(held) => self.renewed(now, held, out),
             RenewerInput::Failed(why) => match self.work {
                 Work::Idle | Work::Asking(_) => {}
-                _ => self.failed(now, plain(Step::Done, why), out),
+                _ => self.failed(now, local_error(Step::Done, why), out),
             },
         }
         self.present(now, out);
@@ -332,38 +336,38 @@
     fn tick(&mut self, now: Seconds, out: &mut Vec<RenewerOutput>) {
         match &mut self.work {
             Work::Idle => {
-                if now >= self.look_at || self.look_at > now + self.settings.look_every {
-                    self.look_at = now + self.settings.look_every;
+                if now >= self.storage_check_at || self.storage_check_at > now + self.settings.look_every {
+                    self.storage_check_at = now + self.settings.look_every;
                     out.push(RenewerOutput::Look);
                 }
                 if now >= self.next_order(now) {
                     self.work = Work::Locking;
                     out.push(RenewerOutput::Lock);
-                } else if now >= self.info_at || self.info_at > now + INFO_EVERY.1 {
-                    self.ask(now, out);
+                } else if now >= self.info_at || self.info_at > now + RENEWAL_INFO_INTERVAL_S.1 {
+                    self.request_renewal_info(now, out);
                 }
             }
             Work::Ordering { waiting, .. } => {
                 if let Some((since, until, request)) = waiting.take() {
-                    // A clock that went back ends the wait.
+                    // If the clock was set back, the wait ends at once.
                     if now >= until || now < since {
                         out.push(RenewerOutput::Send(request));
                     } else {
                         *waiting = Some((since, until, request));
                     }
                 }
-                if now > self.began + self.settings.order_time {
+                if now > self.order_started_at + self.settings.order_time {
                     let why = format!("not done after {} s", self.settings.order_time);
-                    self.failed(now, plain(Step::Issuance, why), out);
+                    self.failed(now, local_error(Step::Issuance, why), out);
                 }
             }
             _ => {}
         }
     }
 
-    /// Asks when the newest certificate should be renewed.
-    fn ask(&mut self, now: Seconds, out: &mut Vec<RenewerOutput>) {
-        self.info_at = now + INFO_EVERY.1 / 4;
+    /// Requests renewal information for the newest certificate.
+    fn request_renewal_info(&mut self, now: Seconds, out: &mut Vec<RenewerOutput>) {
+        self.info_at = now + RENEWAL_INFO_INTERVAL_S.1 / 4;
         let Some(id) = self.newest(now).and_then(|held| held.chain.id.clone()) else { return };
         let mut errand = Errand::new(self.account.clone(), ErrandKind::RenewalInfo(id));
         if let Ok(ErrandStep::Send(request)) = errand.go_on() {
@@ -376,13 +380,13 @@
         if !matches!(self.work, Work::Locking) {
             return out.push(RenewerOutput::Unlock);
         }
-        self.adopt(found);
+        self.load_snapshot(found);
         if now < self.next_order(now) {
-            // Another node was quicker.
+            // Another node has already renewed the certificate.
             self.work = Work::Idle;
             return out.push(RenewerOutput::Unlock);
         }
-        self.began = now;
+        self.order_started_at = now;
         let fresh = self.stored.as_ref().is_none_or(|stored| stored.names != self.settings.names);
         self.work = Work::Preparing { fresh };
         out.push(RenewerOutput::Prepare { fresh });
@@ -412,11 +416,13 @@
                 Ok(ErrandStep::Done(ErrandResult::Window(window, again))) => {
                     let id = self.newest(now).and_then(|held| held.chain.id.clone());
                     self.suggested = id.zip(window);
-                    let again = again.unwrap_or(INFO_EVERY.1 / 4).clamp(INFO_EVERY.0, INFO_EVERY.1);
+                    let again = again
+                        .unwrap_or(RENEWAL_INFO_INTERVAL_S.1 / 4)
+                        .clamp(RENEWAL_INFO_INTERVAL_S.0, RENEWAL_INFO_INTERVAL_S.1);
                     self.info_at = now + again;
                     self.work = Work::Idle;
                 }
-                // Without it the policy plans.
+                // Without renewal information the policy alone determines the renewal.
                 Ok(ErrandStep::Done(_)) | Err(_) => self.work = Work::Idle,
             },
             _ => {}
@@ -429,7 +435,7 @@
         if let Some(account) = &stored.account {
             self.account.url = Some(account.clone());
         }
-        // Before the next request goes out, what the last answer told is on disk.
+        // The state from the last response must be on disk before the next request is sent.
         if self.stored.as_ref() != Some(&stored) && !matches!(next, Err(AcmeError { dead: true, .. })) {
             out.push(RenewerOutput::StoreOrder(stored.clone()));
             self.stored = Some(stored);
@@ -442,21 +448,23 @@
             Ok(Progress::Prove(proof)) => out.push(RenewerOutput::Prove(proof)),
             Ok(Progress::Done(chains)) => {
                 let public_key = std::mem::take(public_key);
-                match self.accepted(now, chains, &public_key) {
+                match self.select_chain(now, chains, &public_key) {
                     Ok(pem) => {
                         self.work = Work::Storing;
                         out.push(RenewerOutput::StoreCertificate(pem));
                     }
-                    // The same order would give the same certificate again.
-                    Err(why) => self.failed(now, AcmeError { dead: true, ..plain(Step::Done, why) }, out),
+                    // Repeating the order would return the same certificate.
+                    Err(why) => {
+                        self.failed(now, AcmeError { dead: true, ..local_error(Step::Done, why) }, out)
+                    }
                 }
             }
             Err(error) => self.failed(now, error, out),
         }
     }
 
-    /// The chain to use, if what came is what was ordered.
-    fn accepted(&self, now: Seconds, chains: Vec<String>, public_key: &[u8]) -> Result<String, String> {
+    /// Returns the chain to use, if one of those received matches the order.
+    fn select_chain(&self, now: Seconds, chains: Vec<String>, public_key: &[u8]) -> Result<String, String> {
         let mut read = Vec::new();
         let mut wrong = String::new();
         for pem in chains {
@@ -484,13 +492,13 @@
         self.certificates.retain(|known| known.id != held.id);
         self.certificates.push(held);
         self.work = Work::Idle;
-        (self.stored, self.now_please) = (None, false);
+        (self.stored, self.renew_requested) = (None, false);
         self.info_at = now;
         let failures = std::mem::take(&mut self.tried).failures;
         let useful = now < self.next_order(now);
         let tried = match useful {
             true => Tried::default(),
-            // It came, and does not follow what is valid now: the next try waits as after a failure.
+            // The certificate does not take effect in time, so the next attempt backs off as after a failure.
             false => Tried {
                 failures: failures.saturating_add(1),
                 failed_at: now,
@@ -503,10 +511,10 @@
             out.push(RenewerOutput::StoreTried(self.tried.clone()));
         }
         out.push(RenewerOutput::Unprove);
-        // Kept for as long as it was valid once it is over, for whoever asks what was presented.
+        // An expired certificate is kept for the length of its lifetime, to show what was presented.
         let long_over = |validity: Validity| validity.until + (validity.until - validity.from).max(0) < now;
         self.certificates.sort_by_key(|held| held.chain.validity.until);
-        let old = self.certificates.len().saturating_sub(KEEP);
+        let old = self.certificates.len().saturating_sub(MIN_CERTIFICATES_KEPT);
         for old in self.certificates.extract_if(..old, |held| long_over(held.chain.validity)) {
             out.push(RenewerOutput::DropCertificate(old.id));
         }
@@ -521,7 +529,7 @@
     }
 
     fn failed(&mut self, now: Seconds, error: AcmeError, out: &mut Vec<RenewerOutput>) {
-        let again = error.retry_after.map(|seconds| now + seconds.clamp(0, LONGEST_RETRY));
+        let again = error.retry_after.map(|seconds| now + seconds.clamp(0, MAX_RETRY_AFTER_S));
         self.tried = Tried {
             failures: self.tried.failures.saturating_add(1),
             failed_at: now,
@@ -529,7 +537,7 @@
             error: error.to_string(),
         };
         self.work = Work::Idle;
-        self.now_please = false;
+        self.renew_requested = false;
         out.push(RenewerOutput::StoreTried(self.tried.clone()));
         if error.dead {
             self.stored = None;
@@ -541,12 +549,15 @@
         out.push(RenewerOutput::Notice(RenewerNotice::TryFailed { error: error.to_string(), again }));
     }
 
-    /// Presents what is to be presented now, and says so loudly when that is nothing.
+    /// Updates the presented certificate and emits a notice when none is valid.
     fn present(&mut self, now: Seconds, out: &mut Vec<RenewerOutput>) {
         let all: Vec<Validity> = self.certificates.iter().map(|held| held.chain.validity).collect();
         let which = planner::present(&all, now).map(|index| self.certificates[index].id.clone());
-        if which.is_none() && (now >= self.said.saturating_add(SAY_AGAIN) || self.said > now) {
-            self.said = now;
+        if which.is_none()
+            && (now >= self.nothing_valid_notice_at.saturating_add(NOTHING_VALID_NOTICE_INTERVAL_S)
+                || self.nothing_valid_notice_at > now)
+        {
+            self.nothing_valid_notice_at = now;
             out.push(RenewerOutput::Notice(RenewerNotice::NothingValid));
         }
         if self.presented.as_ref() != Some(&which) {
@@ -555,17 +566,17 @@
         }
     }
 
-    /// The account, with its URL once it is known.
+    /// Returns the account, with its URL once it is known.
     pub fn account(&self) -> &Account {
         &self.account
     }
 
-    /// The key of the account is another from now on.
+    /// Replaces the account's key after a roll-over.
     pub fn rolled_over(&mut self, key: Arc<crate::AccountKey>) {
         self.account.key = key;
     }
 }
 
-fn plain(step: Step, detail: String) -> AcmeError {
+fn local_error(step: Step, detail: String) -> AcmeError {
     AcmeError { step, kind: None, detail, retry_after: None, dead: false }
 }
--- a/crates/lemoncleat-acme/src/session.rs
+++ b/crates/lemoncleat-acme/src/session.rs
@@ -1,5 +1,5 @@
-//! What every conversation with an authority begins with: its directory, a nonce, the account (RFC 8555 sections
-//! 7.1.1, 7.2, 7.3), and what its refusals mean.
+//! Requests common to all exchanges with an authority: directory, nonce and account (RFC 8555 sections 7.1.1,
+//! 7.2, 7.3), and the interpretation of its errors.
 
 use std::fmt;
 use std::sync::Arc;
@@ -10,15 +10,15 @@
 
 use crate::jose::{AccountKey, Signer};
 
-/// Most times that one request is signed anew for a nonce that the authority refused.
-const BAD_NONCES: u32 = 10;
+/// Maximum number of times a request is signed again after the authority refused its nonce.
+const MAX_BAD_NONCE_RETRIES: u32 = 10;
 
 /// A request to the authority.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpRequest {
     /// GET, HEAD or POST.
     pub method: &'static str,
-    /// Where to.
+    /// The URL.
     pub url: String,
     /// The body of a POST (application/jose+json).
     pub body: String,
@@ -30,45 +30,45 @@
     }
 }
 
-/// An answer of the authority, as far as it matters.
+/// The parts of the authority's response that the protocol uses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Its status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Location.
+    /// The Location field.
     pub location: Option<String>,
-    /// Replay-Nonce.
+    /// The Replay-Nonce field.
     pub nonce: Option<String>,
-    /// Retry-After, in seconds.
+    /// The Retry-After field, in seconds.
     pub retry_after: Option<i64>,
     /// Links to other chains of the certificate (rel "alternate", section 7.4.2).
     pub alternates: Vec<String>,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
 }
 
-/// Where a conversation is.
+/// The step of an exchange with the authority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Step {
     /// The directory is to be fetched.
     Directory,
     /// A nonce is to be fetched.
     Nonce,
-    /// The account is to be made or found.
+    /// The account is to be created or looked up.
     Account,
     /// The order is to be placed.
     NewOrder,
     /// The next authorization is to be fetched.
     Authorization,
-    /// Its challenge is to be answered, once what proves it is in place.
+    /// Its challenge is to be answered, once the challenge response is provisioned.
     Challenge,
-    /// Its outcome is awaited.
+    /// The outcome of the validation is awaited.
     Validation,
-    /// The request for the certificate is to be sent.
+    /// The order is to be finalized with the CSR.
     Finalize,
     /// The certificate's issuance is awaited.
     Issuance,
-    /// The certificate is to be fetched, or another chain of it.
+    /// The certificate or an alternate chain is to be fetched.
     Download,
     /// A certificate is to be revoked.
     Revocation,
@@ -87,16 +87,16 @@
     pub step: Step,
     /// The problem's type (`urn:ietf:params:acme:error:...`), where the authority told one.
     pub kind: Option<String>,
-    /// What it said, with its subproblems.
+    /// The problem's detail, with its subproblems.
     pub detail: String,
-    /// Not before so many seconds.
+    /// Seconds after which the request may be repeated.
     pub retry_after: Option<i64>,
-    /// Whether what was begun is dead: the next try begins anew.
+    /// Whether the order has failed for good: the next attempt starts a new one.
     pub dead: bool,
 }
 
 impl AcmeError {
-    /// Whether the authority told this type of problem, by the last part of its name.
+    /// Returns whether the problem has this ACME error type, given without its URN prefix.
     pub fn is(&self, name: &str) -> bool {
         self.kind.as_deref().and_then(|kind| kind.strip_prefix("urn:ietf:params:acme:error:")) == Some(name)
     }
@@ -110,7 +110,7 @@
 
 impl std::error::Error for AcmeError {}
 
-/// An account that the authority knows otherwise, to which a new one is bound (section 7.3.4).
+/// An external account at the authority to which a new account is bound (section 7.3.4).
 #[derive(Clone)]
 pub struct External {
     /// Its key identifier.
@@ -125,37 +125,37 @@
     }
 }
 
-/// With whom, and as whom, one talks.
+/// The authority and the account used with it.
 #[derive(Clone, Debug)]
 pub struct Account {
-    /// The authority's directory.
+    /// URL of the authority's directory.
     pub directory: String,
     /// The account's key.
     pub key: Arc<AccountKey>,
-    /// Contact URLs, `mailto:` mostly.
+    /// Contact URLs, usually `mailto:`.
     pub contact: Vec<String>,
-    /// An account that it is bound to.
+    /// The external account to bind to.
     pub external: Option<External>,
-    /// Its URL, once known.
+    /// The account's URL, once known.
     pub url: Option<String>,
 }
 
-/// What an answer is for.
+/// Who handles a response.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum Absorbed {
-    /// The session itself, or a request that must be made once more: go on.
+    /// The session handled it, or the request must be repeated: ask for the next request.
     Session,
-    /// What the session is held for.
-    Yours,
+    /// The owner of the session (order or operation) must handle it.
+    ForOwner,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
+enum PendingRequest {
     Nothing,
     Directory,
     Nonce,
     Account,
-    Yours,
+    ForOwner,
 }
 
 #[derive(Debug)]
@@ -163,11 +163,11 @@
     pub account: Account,
     directory: Option<Value>,
     nonce: Option<String>,
-    bad_nonces: u32,
-    asked: Asked,
-    /// The account was not known there any more: what was begun under it is gone too.
-    pub forgotten: bool,
-    /// Only an account that exists is wanted.
+    bad_nonce_retries: u32,
+    pending: PendingRequest,
+    /// The authority no longer knows the account, so orders placed under it are lost too.
+    pub account_lost: bool,
+    /// Whether only an existing account may be used (`onlyReturnExisting`).
     pub only_existing: bool,
 }
 
@@ -177,20 +177,20 @@
             account,
             directory: None,
             nonce: None,
-            bad_nonces: 0,
-            asked: Asked::Nothing,
-            forgotten: false,
+            bad_nonce_retries: 0,
+            pending: PendingRequest::Nothing,
+            account_lost: false,
             only_existing: false,
         }
     }
 
-    /// In which step a failure now would be, if it is one of the session's.
+    /// Returns the step of the pending request if it is one of the session's own.
     pub fn step(&self) -> Option<Step> {
-        match self.asked {
-            Asked::Directory => Some(Step::Directory),
-            Asked::Nonce => Some(Step::Nonce),
-            Asked::Account => Some(Step::Account),
-            Asked::Nothing | Asked::Yours => None,
+        match self.pending {
+            PendingRequest::Directory => Some(Step::Directory),
+            PendingRequest::Nonce => Some(Step::Nonce),
+            PendingRequest::Account => Some(Step::Account),
+            PendingRequest::Nothing | PendingRequest::ForOwner => None,
         }
     }
 
@@ -199,24 +199,24 @@
         AcmeError { step, kind: None, detail: detail.into(), retry_after: None, dead: false }
     }
 
-    /// A URL of the directory.
+    /// Returns a URL of the directory.
     pub fn url(&self, name: &str) -> Result<String, AcmeError> {
         let url = self.directory.as_ref().and_then(|directory| directory[name].as_str());
         url.map(str::to_owned)
             .ok_or_else(|| self.error(Step::Directory, format!("the directory has no {name}")))
     }
 
-    /// The request that must be answered before any other; `None` once there is none.
-    pub fn before(&mut self, signed: bool) -> Result<Option<HttpRequest>, AcmeError> {
+    /// Returns the request that must be answered before the owner's next one, or `None` if there is none.
+    pub fn prerequisite(&mut self, signed: bool) -> Result<Option<HttpRequest>, AcmeError> {
         if self.directory.is_none() {
-            self.asked = Asked::Directory;
+            self.pending = PendingRequest::Directory;
             return Ok(Some(HttpRequest::get(self.account.directory.clone())));
         }
         if !signed {
             return Ok(None);
         }
         if self.nonce.is_none() {
-            self.asked = Asked::Nonce;
+            self.pending = PendingRequest::Nonce;
             let url = self.url("newNonce")?;
             return Ok(Some(HttpRequest { method: "HEAD", url, body: String::new() }));
         }
@@ -233,21 +233,21 @@
             payload["externalAccountBinding"] = binding;
         }
         let request = self.signed(Signer::Key, url, Some(&payload))?;
-        self.asked = Asked::Account;
+        self.pending = PendingRequest::Account;
         Ok(Some(request))
     }
 
-    /// A request of what the session is held for, signed by the account. An empty payload is POST-as-GET.
+    /// Returns a request of the owner, signed by the account. An empty payload is POST-as-GET.
     pub fn post(&mut self, url: String, payload: Option<&Value>) -> Result<HttpRequest, AcmeError> {
         let account = self.account.url.clone().unwrap_or_default();
         let request = self.signed(Signer::Account(&account), url, payload)?;
-        self.asked = Asked::Yours;
+        self.pending = PendingRequest::ForOwner;
         Ok(request)
     }
 
-    /// One that needs no signature.
+    /// Returns an unsigned GET request of the owner.
     pub fn get(&mut self, url: String) -> HttpRequest {
-        self.asked = Asked::Yours;
+        self.pending = PendingRequest::ForOwner;
         HttpRequest::get(url)
     }
 
@@ -257,65 +257,70 @@
         url: String,
         payload: Option<&Value>,
     ) -> Result<HttpRequest, AcmeError> {
-        let nonce = self.nonce.take().ok_or_else(|| self.error(Step::Nonce, "no nonce is at hand"))?;
+        let nonce = self.nonce.take().ok_or_else(|| self.error(Step::Nonce, "no nonce is available"))?;
         let body = self.account.key.sign(&signer, &nonce, &url, payload);
         let body = body.map_err(|error| self.error(Step::Nonce, error))?;
         Ok(HttpRequest { method: "POST", url, body })
     }
 
-    /// Takes an answer in; `Yours` if it is for what the session is held for.
+    /// Processes a response; returns `ForOwner` if the session's owner must handle it.
     pub fn absorb(&mut self, response: &HttpResponse, step: Step) -> Result<Absorbed, AcmeError> {
         if let Some(nonce) = &response.nonce {
             self.nonce = Some(nonce.clone());
         }
         if response.status >= 400 {
-            return self.refused(response, step);
+            return self.handle_refusal(response, step);
         }
-        match self.asked {
-            Asked::Directory => {
+        match self.pending {
+            PendingRequest::Directory => {
                 let directory = serde_json::from_slice(&response.body)
-                    .map_err(|error| self.error(step, format!("no directory: {error}")))?;
+                    .map_err(|error| self.error(step, format!("the directory is not valid JSON: {error}")))?;
                 self.directory = Some(directory);
             }
-            Asked::Nonce if self.nonce.is_none() => return Err(self.error(step, "the answer has no nonce")),
-            Asked::Nonce | Asked::Nothing => {}
-            Asked::Account => {
+            PendingRequest::Nonce if self.nonce.is_none() => {
+                return Err(self.error(step, "the response has no Replay-Nonce"))
+            }
+            PendingRequest::Nonce | PendingRequest::Nothing => {}
+            PendingRequest::Account => {
                 let url = response.location.clone();
                 self.account.url =
-                    Some(url.ok_or_else(|| self.error(step, "the authority told no account URL"))?);
-                self.bad_nonces = 0;
+                    Some(url.ok_or_else(|| self.error(step, "the authority sent no account URL"))?);
+                self.bad_nonce_retries = 0;
             }
-            Asked::Yours => {
-                self.bad_nonces = 0;
-                return Ok(Absorbed::Yours);
+            PendingRequest::ForOwner => {
+                self.bad_nonce_retries = 0;
+                return Ok(Absorbed::ForOwner);
             }
         }
         Ok(Absorbed::Session)
     }
 
-    fn refused(&mut self, response: &HttpResponse, step: Step) -> Result<Absorbed, AcmeError> {
+    fn handle_refusal(&mut self, response: &HttpResponse, step: Step) -> Result<Absorbed, AcmeError> {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         let (kind, detail) = problem(&body);
         let mut error = self.error(step, format!("{} {detail}", response.status));
         (error.kind, error.retry_after) = (kind, response.retry_after);
-        if error.is("badNonce") && self.bad_nonces < BAD_NONCES {
-            // Section 6.5: the same request once more, with the nonce that came with the refusal.
-            self.bad_nonces += 1;
+        if error.is("badNonce") && self.bad_nonce_retries < MAX_BAD_NONCE_RETRIES {
+            // Section 6.5: repeat the request with the nonce that came with the refusal.
+            self.bad_nonce_retries += 1;
             return Ok(Absorbed::Session);
         }
-        if error.is("accountDoesNotExist") && self.asked == Asked::Yours && self.account.url.is_some() {
+        if error.is("accountDoesNotExist")
+            && self.pending == PendingRequest::ForOwner
+            && self.account.url.is_some()
+        {
             self.account.url = None;
-            self.forgotten = true;
+            self.account_lost = true;
             return Ok(Absorbed::Session);
         }
-        let later = error.is("rateLimited") || error.is("badNonce") || response.status >= 500;
-        error.dead = self.asked == Asked::Yours && !later;
+        let retryable = error.is("rateLimited") || error.is("badNonce") || response.status >= 500;
+        error.dead = self.pending == PendingRequest::ForOwner && !retryable;
         Err(error)
     }
 }
 
-/// A problem document's type and detail, with its subproblems (sections 6.7 and 6.7.1). Of challenges, the first
-/// that has one.
+/// Returns a problem document's type and its detail with subproblems (sections 6.7 and 6.7.1). For an array
+/// of challenges, returns the first error found.
 pub(crate) fn problem(value: &Value) -> (Option<String>, String) {
     if let Some(all) = value.as_array() {
         return all
--- a/crates/lemoncleat-acme/src/wire.rs
+++ b/crates/lemoncleat-acme/src/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and answers as HTTP messages.
+//! Converts requests and responses to and from HTTP messages.
 
 use std::time::UNIX_EPOCH;
 
@@ -7,12 +7,12 @@
 use crate::planner::Seconds;
 use crate::session::{HttpRequest, HttpResponse};
 
-/// Where a URL leads.
+/// A parsed `http` or `https` URL.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Over TLS (`https`) or plain (`http`).
+    /// Whether the scheme is `https`.
     pub secure: bool,
-    /// The host, as it stands in the URL.
+    /// The host as written in the URL.
     pub host: String,
     /// The port.
     pub port: u16,
@@ -21,11 +21,11 @@
 }
 
 impl Place {
-    /// Reads a URL of `http` or `https`, without user or fragment.
+    /// Parses an `http` or `https` URL without user or fragment.
     ///
     /// # Errors
     ///
-    /// What is wrong with it.
+    /// Describes why the URL is invalid.
     pub fn read(url: &str) -> Result<Place, String> {
         let wrong = |why: &str| format!("{url:?}: {why}");
         let (secure, rest) = match (url.strip_prefix("https://"), url.strip_prefix("http://")) {
@@ -41,7 +41,7 @@
             None => (authority, None),
         };
         let port = match port {
-            Some(port) => port.parse().map_err(|_| wrong("the port is no number up to 65535"))?,
+            Some(port) => port.parse().map_err(|_| wrong("the port is not a number up to 65535"))?,
             None if secure => 443,
             None => 80,
         };
@@ -50,7 +50,7 @@
             return Err(wrong("expected a host after the scheme"));
         }
         if target.chars().any(|c| !c.is_ascii_graphic() || c == '#') {
-            return Err(wrong("a character that cannot stand in a path"));
+            return Err(wrong("a character that is not allowed in a path"));
         }
         let target = match target.starts_with('/') {
             true => target.to_owned(),
@@ -59,7 +59,7 @@
         Ok(Place { secure, host: host.to_owned(), port, target })
     }
 
-    /// Host and port as they stand in a Host field.
+    /// Returns host and port as in a Host field.
     pub fn authority(&self) -> String {
         match (self.secure, self.port) {
             (true, 443) | (false, 80) => self.host.clone(),
@@ -69,7 +69,7 @@
 }
 
 impl HttpRequest {
-    /// The request as a message to a place.
+    /// Builds the HTTP message for the parsed URL.
     pub fn message(&self, place: &Place) -> Message {
         let message = Message::request(self.method, &place.authority(), &place.target)
             .with("User-Agent", concat!("lemoncleat/", env!("CARGO_PKG_VERSION")))
@@ -82,7 +82,8 @@
 }
 
 impl HttpResponse {
-    /// What matters of a message. Retry-After may be a number of seconds or a date (RFC 9110 section 10.2.3).
+    /// Reads the fields used from a message. Retry-After may be a number of seconds or a date (RFC 9110
+    /// section 10.2.3).
     pub fn read(message: &Message, now: Seconds) -> HttpResponse {
         let owned = |name: &str| message.headers.get(name).map(str::to_owned);
         let retry_after = message.headers.get("Retry-After").and_then(|text| {
@@ -121,7 +122,7 @@
     use super::*;
 
     #[test]
-    fn urls_are_taken_apart() {
+    fn url_is_parsed_or_rejected() {
         let place = Place::read("https://ca.example/dir?x=1").expect("a URL");
         assert_eq!((place.secure, place.port, &*place.target), (true, 443, "/dir?x=1"));
         let place = Place::read("http://127.0.0.1:4000").expect("a URL");
@@ -137,7 +138,7 @@
     }
 
     #[test]
-    fn retry_after_is_seconds_or_a_date_and_alternates_come_from_links() {
+    fn retry_after_accepts_seconds_or_date_and_alternates_come_from_link_fields() {
         let read = |text: &str| {
             let message = Message::response(429).with("Retry-After", text);
             HttpResponse::read(&message, 784_111_777 - 30).retry_after
--- a/crates/lemoncleat-acme/tests/common/mod.rs
+++ b/crates/lemoncleat-acme/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A renewer under a virtual clock, with storage in memory and the stand-in authority.
+//! Test driver for a renewer: virtual clock, in-memory storage and the test authority.
 
 #![allow(dead_code, missing_docs)]
 
@@ -47,14 +47,14 @@
     }
 }
 
-/// The same bytes each time, so that runs differ in nothing but what a test changes.
+/// Creates an account with a fresh ES256 key.
 pub fn account() -> Account {
     let bytes = AccountKey::generate(KeyKind::Es256).expect("a key");
     let key = Arc::new(AccountKey::read(&bytes).expect("the same key"));
     Account { directory: format!("{BASE}/directory"), key, contact: Vec::new(), external: None, url: None }
 }
 
-/// What one directory holds.
+/// In-memory stand-in for one storage directory.
 #[derive(Default)]
 pub struct Storage {
     pub certificates: Vec<Held>,
@@ -62,16 +62,16 @@
     pub order: Option<Stored>,
     pub key: Option<KeyPair>,
     pub account: Option<String>,
-    /// Who holds the lock.
+    /// Number of the node that holds the lock.
     pub locked: Option<usize>,
     pub next: u64,
-    /// Puts that fail before anything is written.
-    pub failing: u32,
+    /// Number of the next writes that fail before anything is written.
+    pub failing_writes: u32,
 }
 
 impl Storage {
     pub fn snapshot(&self) -> Snapshot {
-        // An order without its key is none.
+        // An order without its key is ignored.
         let order = self.order.clone().filter(|_| self.key.is_some());
         Snapshot { certificates: self.certificates.clone(), tried: self.tried.clone(), order }
     }
@@ -81,11 +81,11 @@
 pub struct Node {
     pub number: usize,
     pub renewer: Renewer,
-    pub todo: VecDeque<RenewerOutput>,
+    pub pending_outputs: VecDeque<RenewerOutput>,
     pub proofs: Vec<Proof>,
     pub presented: Option<String>,
     pub notices: Vec<(Seconds, RenewerNotice)>,
-    /// Outputs carried out so far.
+    /// Number of outputs executed so far.
     pub steps: usize,
 }
 
@@ -96,7 +96,7 @@
         Node {
             number,
             renewer: Renewer::new(settings, account, storage.snapshot()),
-            todo: VecDeque::new(),
+            pending_outputs: VecDeque::new(),
             proofs: Vec::new(),
             presented: None,
             notices: Vec::new(),
@@ -107,16 +107,16 @@
     pub fn input(&mut self, now: Seconds, input: RenewerInput) {
         let mut out = Vec::new();
         self.renewer.handle(now, input, &mut out);
-        self.todo.extend(out);
+        self.pending_outputs.extend(out);
     }
 
-    /// Carries one output out; `false` if there is none.
-    pub fn step(&mut self, now: Seconds, storage: &mut Storage, world: &mut dyn Serve) -> bool {
-        let Some(output) = self.todo.pop_front() else { return false };
+    /// Executes one output; returns `false` if there is none.
+    pub fn step(&mut self, now: Seconds, storage: &mut Storage, transport: &mut dyn Serve) -> bool {
+        let Some(output) = self.pending_outputs.pop_front() else { return false };
         self.steps += 1;
         let put = |storage: &mut Storage| {
-            let fails = storage.failing > 0;
-            storage.failing = storage.failing.saturating_sub(1);
+            let fails = storage.failing_writes > 0;
+            storage.failing_writes = storage.failing_writes.saturating_sub(1);
             !fails
         };
         match output {
@@ -167,7 +167,7 @@
             RenewerOutput::DropCertificate(id) => storage.certificates.retain(|held| held.id != id),
             RenewerOutput::StoreTried(tried) => storage.tried = tried,
             RenewerOutput::Send(request) => {
-                let input = match world.serve(now, &request, &self.proofs) {
+                let input = match transport.serve(now, &request, &self.proofs) {
                     Ok(response) => RenewerInput::Answered(response),
                     Err(why) => RenewerInput::NoAnswer(why),
                 };
@@ -185,28 +185,28 @@
     }
 
     fn fail(&mut self, now: Seconds) {
-        // What was to come after it rests on it.
-        self.todo.clear();
+        // The remaining outputs depend on the failed one.
+        self.pending_outputs.clear();
         self.input(now, RenewerInput::Failed("the disk is full".to_owned()));
     }
 
-    /// Lets it run for one second of the clock.
-    pub fn second(&mut self, now: Seconds, storage: &mut Storage, world: &mut dyn Serve) {
+    /// Runs the node for one second of the virtual clock.
+    pub fn second(&mut self, now: Seconds, storage: &mut Storage, transport: &mut dyn Serve) {
         self.input(now, RenewerInput::Tick);
         let mut steps = 0;
-        while self.step(now, storage, world) {
+        while self.step(now, storage, transport) {
             steps += 1;
-            assert!(steps < 500, "it goes on and on within a second");
+            assert!(steps < 500, "the node keeps producing outputs within one second");
         }
-        // What it presents is valid now, or nothing is presented.
+        // A presented certificate must be valid now.
         if let Some(id) = &self.presented {
             let held = storage.certificates.iter().find(|held| held.id == *id).expect("it is stored");
-            assert!(held.chain.validity.holds(now), "presents what is not valid at {now}");
+            assert!(held.chain.validity.holds(now), "presents a certificate that is not valid at {now}");
         }
     }
 }
 
-/// The way to the authority.
+/// Transport to the authority.
 pub trait Serve {
     fn serve(
         &mut self,
@@ -225,25 +225,27 @@
     ) -> Result<HttpResponse, String> {
         let place = Place::read(&request.url)?;
         let response = self.handle(now, &request.message(&place));
-        for look in self.to_validate() {
-            let found = find(&look, proofs);
-            self.validated(look.authorization, found);
+        for validation in self.to_validate() {
+            let found = find(&validation, proofs);
+            self.validated(validation.authorization, found);
         }
         Ok(HttpResponse::read(&response, now))
     }
 }
 
-/// What the authority finds where it looks.
-pub fn find(look: &ToValidate, proofs: &[Proof]) -> Result<(), String> {
-    let proof = proofs.iter().find(|proof| proof.token == look.token && proof.name == look.name);
+/// Checks whether the expected challenge response is provisioned.
+pub fn find(validation: &ToValidate, proofs: &[Proof]) -> Result<(), String> {
+    let proof = proofs.iter().find(|proof| proof.token == validation.token && proof.name == validation.name);
     match proof {
-        Some(proof) if proof.authorization == look.expected && proof.kind.name() == look.kind => Ok(()),
+        Some(proof) if proof.authorization == validation.expected && proof.kind.name() == validation.kind => {
+            Ok(())
+        }
         Some(_) => Err("something else is there".to_owned()),
         None => Err("nothing is there".to_owned()),
     }
 }
 
-/// An authority that is not reached between two moments.
+/// An authority that is unreachable between two times (from, until).
 pub struct Unreachable<'a>(pub &'a mut Authority, pub Seconds, pub Seconds);
 
 impl Serve for Unreachable<'_> {
--- a/crates/lemoncleat-acme/tests/errands.rs
+++ b/crates/lemoncleat-acme/tests/errands.rs
@@ -1,4 +1,4 @@
-//! Revocation, the account's new key and renewal information, against the stand-in authority.
+//! Revocation, account key roll-over and renewal information against the test authority.
 
 mod common;
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn with_a_certificate() -> (Authority, Storage, Account) {
+fn authority_with_certificate() -> (Authority, Storage, Account) {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
     for now in START..START + 5 {
@@ -33,25 +33,25 @@
 }
 
 #[test]
-fn a_certificate_is_revoked_once_and_asking_again_does_no_harm() {
-    let (mut authority, storage, account) = with_a_certificate();
+fn revoking_a_revoked_certificate_succeeds() {
+    let (mut authority, storage, account) = authority_with_certificate();
     let leaf = storage.certificates[0].chain.leaf.clone();
     assert!(errand(&mut authority, &account, ErrandKind::Revoke(leaf.clone(), 1)).is_ok());
     assert!(authority.issued()[0].revoked);
-    assert!(errand(&mut authority, &account, ErrandKind::Revoke(leaf, 1)).is_ok(), "it is revoked already");
+    assert!(errand(&mut authority, &account, ErrandKind::Revoke(leaf, 1)).is_ok(), "revoking again succeeds");
     let told =
         errand(&mut authority, &account, ErrandKind::Revoke(vec![1, 2, 3], 1)).expect_err("not issued");
     assert!(told.contains("not issued here"), "{told}");
 }
 
 #[test]
-fn an_account_gets_another_key_and_the_old_one_is_of_no_more_use() {
-    let (mut authority, _, account) = with_a_certificate();
+fn roll_over_replaces_account_key_and_old_key_is_rejected() {
+    let (mut authority, _, account) = authority_with_certificate();
     let bytes = AccountKey::generate(KeyKind::EdDsa).expect("a key");
     let new = Arc::new(AccountKey::read(&bytes).expect("a key"));
     let kind = ErrandKind::RollOver(new.clone());
     let ErrandResult::Done(url) = errand(&mut authority, &account, kind).expect("no error") else {
-        panic!("no window was asked for")
+        panic!("expected the account's URL")
     };
     assert!(url.ends_with("/account/0"));
     let rolled = Account { key: new, ..account.clone() };
@@ -62,9 +62,9 @@
 }
 
 #[test]
-fn a_refused_roll_over_leaves_the_old_key_in_use() {
-    let (mut authority, _, account) = with_a_certificate();
-    // The new key belongs to another account already.
+fn old_key_stays_valid_when_roll_over_is_refused() {
+    let (mut authority, _, account) = authority_with_certificate();
+    // The new key already belongs to another account.
     let bytes = AccountKey::generate(KeyKind::Es256).expect("a key");
     let other = Arc::new(AccountKey::read(&bytes).expect("a key"));
     let mut storage = Storage::default();
@@ -76,8 +76,8 @@
 }
 
 #[test]
-fn an_authority_without_renewal_information_says_nothing_of_it() {
-    let (mut authority, storage, account) = with_a_certificate();
+fn no_window_when_authority_lacks_renewal_information() {
+    let (mut authority, storage, account) = authority_with_certificate();
     let id = storage.certificates[0].chain.id.clone().expect("an identifier");
     assert_eq!(
         errand(&mut authority, &account, ErrandKind::RenewalInfo(id)),
--- a/crates/lemoncleat-acme/tests/renewer.rs
+++ b/crates/lemoncleat-acme/tests/renewer.rs
@@ -1,5 +1,5 @@
-//! Renewals against the stand-in authority under a virtual clock: the hard cases, judged by what the authority saw
-//! and by what was presented at every second.
+//! Renewals against the test authority under a virtual clock. Failure cases are checked by the requests that
+//! the authority received and by the certificate presented at every second.
 
 mod common;
 
@@ -8,18 +8,18 @@
 use lemoncleat_authority::{Authority, AuthoritySettings, Faults, Stage, Wrong};
 use proptest::prelude::*;
 
-/// Runs one node until a moment; at how many seconds nothing was presented after the first certificate.
-fn run(node: &mut Node, storage: &mut Storage, world: &mut dyn Serve, from: i64, to: i64) -> i64 {
-    let mut bare = 0;
+/// Runs one node until `to`; returns for how many seconds after the first certificate none was presented.
+fn run(node: &mut Node, storage: &mut Storage, transport: &mut dyn Serve, from: i64, to: i64) -> i64 {
+    let mut seconds_without = 0;
     for now in from..to {
-        node.second(now, storage, world);
-        bare += i64::from(node.presented.is_none() && !storage.certificates.is_empty());
+        node.second(now, storage, transport);
+        seconds_without += i64::from(node.presented.is_none() && !storage.certificates.is_empty());
     }
-    bare
+    seconds_without
 }
 
 #[test]
-fn certificates_follow_one_another_without_a_second_between() {
+fn renewals_leave_no_second_without_certificate() {
     for (kind, bad_nonces, processing) in
         [(ChallengeKind::Http01, 0.0, 0), (ChallengeKind::TlsAlpn01, 0.3, 0), (ChallengeKind::Http01, 0.3, 3)]
     {
@@ -28,43 +28,46 @@
         let mut settings = settings(1);
         settings.challenge = kind;
         let mut node = Node::start(0, settings, &account, &storage);
-        let bare = run(&mut node, &mut storage, &mut authority, START, START + 3_600);
-        assert_eq!(bare, 0, "once there is a certificate, there always is one");
+        let seconds_without = run(&mut node, &mut storage, &mut authority, START, START + 3_600);
+        assert_eq!(seconds_without, 0, "a certificate is presented without interruption");
         assert!((8..=11).contains(&authority.issued().len()), "{} in an hour", authority.issued().len());
         assert_eq!(authority.complaints(), [""; 0]);
         let (placed, issued) = (authority.orders_placed(), authority.issued().len());
         assert!(placed <= issued + 1, "{placed} orders for {issued} certificates");
-        assert!(storage.certificates.len() <= 5, "those long over are dropped");
+        assert!(storage.certificates.len() <= 5, "certificates that expired long ago are dropped");
     }
 }
 
 #[test]
-fn an_authority_that_is_away_until_shortly_before_expiry_is_in_time() {
+fn renewal_succeeds_when_authority_returns_shortly_before_expiry() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
-    // The certificate lasts from START to START + 600; it is renewed from about 400 on.
-    let mut world = Unreachable(&mut authority, START + 300, START + 590);
-    assert_eq!(run(&mut node, &mut storage, &mut world, START, START + 900), 0);
+    // The certificate is valid from START to START + 600; renewal starts at about START + 400.
+    let mut transport = Unreachable(&mut authority, START + 300, START + 590);
+    assert_eq!(run(&mut node, &mut storage, &mut transport, START, START + 900), 0);
     assert_eq!(authority.issued().len(), 2);
     let failed = |(_, notice): &&(i64, RenewerNotice)| matches!(notice, RenewerNotice::TryFailed { .. });
     let tries = node.notices.iter().filter(failed).count();
-    assert!((5..60).contains(&tries), "{tries} tries while it was away");
+    assert!((5..60).contains(&tries), "{tries} attempts while the authority was unreachable");
 }
 
 #[test]
-fn an_authority_that_stays_away_leaves_nothing_presented_and_says_so() {
+fn nothing_is_presented_and_notice_sent_when_authority_stays_unreachable() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
-    let mut world = Unreachable(&mut authority, START + 300, START + 700);
-    let bare = run(&mut node, &mut storage, &mut world, START, START + 900);
-    assert!((95..=125).contains(&bare), "nothing for {bare} s, expected those from expiry to its return");
+    let mut transport = Unreachable(&mut authority, START + 300, START + 700);
+    let seconds_without = run(&mut node, &mut storage, &mut transport, START, START + 900);
+    assert!(
+        (95..=125).contains(&seconds_without),
+        "no certificate for {seconds_without} s, expected the time from expiry to the authority's return"
+    );
     assert!(node.notices.iter().any(|(at, notice)| {
         *notice == RenewerNotice::NothingValid && (START + 599..START + 605).contains(at)
     }));
 }
 
 #[test]
-fn a_refusal_at_any_step_is_got_over() {
+fn recovers_from_refusal_at_any_step() {
     for stage in Stage::ALL {
         for (status, kind) in [(403, "unauthorized"), (500, "serverInternal"), (429, "rateLimited")] {
             let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
@@ -77,7 +80,7 @@
             let failures = node.notices.iter().filter(|(_, n)| matches!(n, RenewerNotice::TryFailed { .. }));
             let told: Vec<String> = failures.map(|(_, notice)| format!("{notice:?}")).collect();
             assert!(told.iter().all(|text| text.contains("refused by the script")), "{stage:?}: {told:?}");
-            assert!(!told.is_empty(), "{stage:?} {kind}: the operator hears of it");
+            assert!(!told.is_empty(), "{stage:?} {kind}: the failure is reported");
             let reached = if stage as usize > Stage::NewOrder as usize { 3 } else { 1 };
             let most = if status == 403 { reached } else { 1 };
             assert!(
@@ -91,7 +94,7 @@
 }
 
 #[test]
-fn a_failed_validation_ends_the_order_and_the_next_one_succeeds() {
+fn next_order_succeeds_after_failed_validation() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     authority.faults.failing_validations = 1;
     let mut node = Node::start(0, settings(1), &account, &storage);
@@ -101,7 +104,7 @@
 }
 
 #[test]
-fn killed_between_any_two_steps_it_goes_on_without_a_second_order_where_the_first_lives() {
+fn resumes_stored_order_when_killed_between_any_two_steps() {
     let mut whole = false;
     for cut in 1..60 {
         let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
@@ -123,7 +126,7 @@
         whole |= storage.certificates.len() == 1;
         let stored = storage.order.as_ref().is_some_and(|order| order.order.is_some());
         let placed = authority.orders_placed();
-        // The kernel gives a dead process's lock back; its proofs are gone with it.
+        // The kernel releases the lock of a killed process; its challenge responses are lost too.
         storage.locked = None;
         let mut second = Node::start(1, settings(1), &account, &storage);
         run(&mut second, &mut storage, &mut authority, now, now + 100);
@@ -136,11 +139,11 @@
         );
         assert_eq!(authority.complaints(), [""; 0]);
     }
-    assert!(whole, "some cuts come after the end");
+    assert!(whole, "some cuts come after the order is complete");
 }
 
 #[test]
-fn nodes_that_share_storage_place_one_order_a_renewal() {
+fn nodes_sharing_storage_place_one_order_per_renewal() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut nodes: Vec<Node> =
         (0..5).map(|number| Node::start(number, settings(number as u64), &account, &storage)).collect();
@@ -155,30 +158,30 @@
 }
 
 #[test]
-fn a_wrong_certificate_is_not_taken_and_the_old_one_is_kept() {
+fn wrong_certificate_is_rejected_and_old_one_kept() {
     for (wrong, told) in [
         (Wrong::Key, "another key"),
         (Wrong::Names, "lacks the names"),
-        (Wrong::Expired, "is over since"),
+        (Wrong::Expired, "the certificate expired"),
         (Wrong::Chain, "the chain is broken"),
     ] {
         let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
         let mut node = Node::start(0, settings(1), &account, &storage);
         run(&mut node, &mut storage, &mut authority, START, START + 10);
         authority.faults.wrong = vec![wrong];
-        let bare = run(&mut node, &mut storage, &mut authority, START + 10, START + 600);
-        assert_eq!(bare, 0, "{wrong:?}");
+        let seconds_without = run(&mut node, &mut storage, &mut authority, START + 10, START + 600);
+        assert_eq!(seconds_without, 0, "{wrong:?}");
         assert!(
             node.notices.iter().any(|(_, n)| format!("{n:?}").contains(told)),
             "{wrong:?}: {:?}",
             node.notices
         );
-        assert_eq!(storage.certificates.len(), 2, "{wrong:?}: the next try succeeded");
+        assert_eq!(storage.certificates.len(), 2, "{wrong:?}: the next attempt succeeded");
     }
 }
 
 #[test]
-fn a_certificate_of_the_future_waits_while_the_old_one_is_presented() {
+fn old_certificate_is_presented_while_new_one_is_not_yet_valid() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
     run(&mut node, &mut storage, &mut authority, START, START + 10);
@@ -186,8 +189,9 @@
     authority.faults.wrong = vec![Wrong::NotYet; 200];
     run(&mut node, &mut storage, &mut authority, START + 10, START + 595);
     assert!(storage.certificates.len() > 1);
-    assert_eq!(node.presented, first, "the one that is valid now");
-    // All that come are of the future: nothing is presented after its end, and waits double.
+    assert_eq!(node.presented, first, "the certificate that is valid now is presented");
+    // All further certificates are not yet valid: none is presented after the first expires, and back-off
+    // doubles.
     run(&mut node, &mut storage, &mut authority, START + 600, START + 1_200);
     assert_eq!(node.presented, None);
     let placed = authority.orders_placed();
@@ -196,7 +200,7 @@
 }
 
 #[test]
-fn an_authority_whose_clock_is_off_by_less_than_its_backdating_does_no_harm() {
+fn tolerates_authority_clock_skew_within_backdating() {
     for ahead in [-50, 50] {
         let settings_of = AuthoritySettings { backdate: 60, ..authority_settings() };
         let mut authority = Authority::new(settings_of, START).expect("an authority");
@@ -208,47 +212,51 @@
 }
 
 #[test]
-fn a_clock_that_jumps_never_presents_what_is_over_nor_stops_renewal() {
+fn clock_jumps_neither_present_expired_certificate_nor_stop_renewal() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
     run(&mut node, &mut storage, &mut authority, START, START + 100);
-    // Ahead by a day, within one second: the old one is over, a new one comes at once.
+    // The clock jumps ahead by a day: the old certificate has expired and a new one is ordered at once.
     let day = 86_400;
     run(&mut node, &mut storage, &mut authority, START + day, START + day + 10);
     assert_eq!(storage.certificates.len(), 2);
     let ahead = node.presented.clone();
     assert!(ahead.is_some());
-    // Back again: the first is valid by this clock and presented (`second` checks).
+    // The clock jumps back: the first certificate is valid again and presented (checked in `second`).
     run(&mut node, &mut storage, &mut authority, START + 110, START + 120);
     assert!(node.presented.is_some() && node.presented != ahead);
-    // When it is over the other is still of the future: a third is ordered rather than a day waited for.
+    // When it expires the other is not yet valid: a third is ordered instead of waiting for a day.
     assert!(run(&mut node, &mut storage, &mut authority, START + 120, START + 700) < 10);
     let placed = authority.orders_placed();
     assert!((3..=5).contains(&placed), "{placed} orders");
-    // While the authority is away, a try fails in the future of a clock that then goes back.
+    // While the authority is unreachable, an attempt fails at a time that lies ahead once the clock is set
+    // back.
     let mut away = Unreachable(&mut authority, START + day, START + 2 * day);
     run(&mut node, &mut storage, &mut away, START + day + 1_000, START + day + 1_010);
     let placed = authority.orders_placed();
     run(&mut node, &mut storage, &mut authority, START + 700, START + 1_500);
-    assert!(authority.orders_placed() > placed, "it does not wait for a moment of the other clock");
+    assert!(
+        authority.orders_placed() > placed,
+        "back-off from the clock's earlier setting does not delay the renewal"
+    );
 }
 
 #[test]
-fn rate_limits_are_heeded() {
+fn rate_limit_is_honoured() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     authority.faults.orders_within = Some((1, 300));
     let mut node = Node::start(0, settings(1), &account, &storage);
     run(&mut node, &mut storage, &mut authority, START, START + 10);
-    // The operator asks for another: refused with the time that is left, and not tried before.
+    // The operator requests another: it is refused with Retry-After, and not attempted again before that.
     node.input(START + 10, lemoncleat_acme::RenewerInput::RenewNow);
     run(&mut node, &mut storage, &mut authority, START + 10, START + 299);
     let orders = authority.requests().iter().filter(|(_, path)| path.contains("new-order")).count();
-    assert_eq!(orders, 2, "the first, and the one that was refused");
+    assert_eq!(orders, 2, "the first order and the refused one");
     assert!(node.renewer.tried().not_before.is_some_and(|at| at >= START + 300));
 }
 
 #[test]
-fn the_window_of_renewal_information_is_kept() {
+fn renewals_fall_within_renewal_information_window() {
     let settings_of = AuthoritySettings { window: Some((0.2, 0.3)), ..authority_settings() };
     let mut authority = Authority::new(settings_of, START).expect("an authority");
     let (mut storage, account) = (Storage::default(), account());
@@ -262,7 +270,7 @@
 }
 
 #[test]
-fn a_chain_by_the_preferred_root_is_taken() {
+fn chain_of_preferred_root_is_selected() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut settings = settings(1);
     settings.preferred_chain = Some("other root".to_owned());
@@ -272,7 +280,7 @@
 }
 
 #[test]
-fn an_account_bound_to_an_external_one_and_keys_of_both_kinds() {
+fn external_account_binding_works_with_both_key_kinds() {
     for kind in [KeyKind::Es256, KeyKind::EdDsa] {
         let external = Some(("kid-1".to_owned(), b"a shared secret".to_vec()));
         let settings_of = AuthoritySettings { external, ..authority_settings() };
@@ -283,7 +291,7 @@
         let mut storage = Storage::default();
         let mut node = Node::start(0, settings(1), &account, &storage);
         run(&mut node, &mut storage, &mut authority, START, START + 4);
-        assert!(storage.certificates.is_empty(), "an account without its binding is refused");
+        assert!(storage.certificates.is_empty(), "an account without external binding is refused");
         account.external = Some(lemoncleat_acme::External {
             key_id: "kid-1".to_owned(),
             secret: b"a shared secret".to_vec().into(),
@@ -296,7 +304,7 @@
 }
 
 #[test]
-fn a_forgetful_authority_gets_a_new_account_and_order() {
+fn new_account_and_order_when_authority_lost_both() {
     let (mut old, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
     old.faults.processing = 1_000;
@@ -311,9 +319,9 @@
 }
 
 #[test]
-fn a_disk_that_is_full_ends_the_try_and_no_request_runs_ahead_of_it() {
+fn failed_writes_end_the_attempt_and_later_attempt_succeeds() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
-    storage.failing = 3;
+    storage.failing_writes = 3;
     let mut node = Node::start(0, settings(1), &account, &storage);
     run(&mut node, &mut storage, &mut authority, START, START + 120);
     assert!(node.notices.iter().any(|(_, n)| format!("{n:?}").contains("the disk is full")));
@@ -321,12 +329,12 @@
 }
 
 #[test]
-fn what_is_stored_comes_before_what_rests_on_it() {
+fn order_is_stored_before_requests_that_depend_on_it() {
     let (mut authority, mut storage, account) = (authority(), Storage::default(), account());
     let mut node = Node::start(0, settings(1), &account, &storage);
     node.input(START, lemoncleat_acme::RenewerInput::Tick);
     let mut stored = false;
-    while let Some(next) = node.todo.front().cloned() {
+    while let Some(next) = node.pending_outputs.front().cloned() {
         if let RenewerOutput::Send(request) = &next {
             let about_an_order =
                 request.url.contains("/authorization/") || request.url.contains("/finalize/");
@@ -341,10 +349,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever fails for the first ten minutes, with kills in between: the authority has nothing to complain of, and
-    /// when it is well again there is a valid certificate within two minutes.
+    /// Random failures and kills for the first ten minutes: the authority sees no protocol violation, and
+    /// once the failures stop there is a valid certificate within 125 s.
     #[test]
-    fn whatever_fails_there_is_a_certificate_once_nothing_does(
+    fn valid_certificate_once_random_failures_stop(
         bad_nonces in 0.0..0.6_f64,
         refuse in prop::collection::vec((0..9_usize, 0..3_usize, 1..4_u32), 0..6),
         failing_validations in 0..3_u32,
@@ -372,8 +380,8 @@
                 storage.locked = None;
                 node = Node::start(0, settings(1), &account, &storage);
             }
-            let mut world = Unreachable(&mut authority, START, START + away);
-            node.second(now, &mut storage, &mut world);
+            let mut transport = Unreachable(&mut authority, START, START + away);
+            node.second(now, &mut storage, &mut transport);
         }
         authority.faults = Faults::default();
         run(&mut node, &mut storage, &mut authority, START + 600, START + 725);
