--- a/crates/lemoncleat-certificates/src/keeper.rs
+++ b/crates/lemoncleat-certificates/src/keeper.rs
@@ -1,7 +1,7 @@
-//! The thread that keeps a node in certificates: it carries out what the [`Renewer`] asks for.
+//! The thread that keeps a node's certificate valid: it executes the outputs of the [`Renewer`].
 //!
-//! A thread of its own, because keys are made and files synced on it, which may take longer than a node's loop may
-//! be away.
+//! It is a separate thread because key generation and file syncs can take longer than a node's event loop may
+//! block.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -26,59 +26,59 @@
 use crate::proof::{tls_alpn_pem, Responder};
 use crate::storage::{Lock, Storage};
 
-/// Longest sleep: the wall clock may be set at any time.
-const LONGEST: Duration = Duration::from_secs(1);
-/// Shortest.
-const SHORTEST: Duration = Duration::from_millis(20);
-/// How long a node may take to put a proof in place.
-const PLACING: Duration = Duration::from_secs(10);
+/// Longest sleep, kept short because the wall clock may be set at any time.
+const MAX_SLEEP: Duration = Duration::from_secs(1);
+/// Shortest sleep.
+const MIN_SLEEP: Duration = Duration::from_millis(20);
+/// Time limit for the node to provision a challenge response.
+const PROVISION_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An account that a new one is bound to.
+/// The external account that a new account is bound to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct External {
     /// Its key identifier.
     pub key_id: String,
-    /// The file that holds its key, base64url.
+    /// The file with its key, base64url.
     pub key_file: PathBuf,
 }
 
-/// What a keeper is told.
+/// Settings of a keeper.
 #[derive(Clone, Debug)]
 pub struct KeeperSettings {
-    /// The directory in which keys and certificates are kept.
+    /// The directory in which keys and certificates are stored.
     pub state: PathBuf,
-    /// The names that certificates must hold.
+    /// The names that certificates must cover.
     pub names: Vec<String>,
     /// The authority's directory URL.
     pub directory: String,
-    /// Authorities that vouch for the ACME authority's own certificate, PEM.
+    /// Roots that the ACME server's certificate must chain to, PEM.
     pub roots: Option<PathBuf>,
     /// Contact URLs.
     pub contact: Vec<String>,
-    /// The account that a new one is bound to.
+    /// The external account that a new account is bound to.
     pub external: Option<External>,
     /// The kind of a new account key.
     pub key: KeyKind,
-    /// How names are proven.
+    /// The challenge type used to prove names.
     pub challenge: ChallengeKind,
-    /// Where files for http-01 are served.
+    /// The address to serve http-01 challenge responses on.
     pub listen: Option<SocketAddr>,
-    /// Of several chains, the one whose last issuer's name holds this.
+    /// Prefer the chain whose last issuer's name contains this.
     pub preferred_chain: Option<String>,
     /// When certificates are renewed.
     pub policy: Policy,
-    /// What tells this node's moments from others'.
+    /// Seed that spreads this node's renewals from those of others.
     pub seed: u64,
-    /// How long a whole try may take.
+    /// Time limit for a whole attempt.
     pub try_time: Duration,
-    /// How long one request may take.
+    /// Time limit for one request.
     pub answer_time: Duration,
-    /// How often the directory is looked at for what other nodes have put there.
+    /// Interval at which the directory is checked for changes by other nodes.
     pub look: Duration,
 }
 
 impl KeeperSettings {
-    /// Settings with defaults for all that has one.
+    /// Creates settings with defaults for everything that has one.
     pub fn new(state: PathBuf, names: Vec<String>, directory: String) -> KeeperSettings {
         KeeperSettings {
             state,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// The account as it is stored, with a new key where there is none.
+    /// Loads the account from storage, creating a key if there is none.
     ///
     /// # Errors
     ///
     /// When a file is damaged or can't be written.
     pub fn account(&self, storage: &Storage) -> Result<Account, String> {
-        let told = |error: crate::StorageError| error.to_string();
+        let describe = |error: crate::StorageError| error.to_string();
         let external = match &self.external {
             None => None,
             Some(external) => {
@@ -119,7 +119,7 @@
         };
         Ok(Account {
             directory: self.directory.clone(),
-            key: Arc::new(storage.account_key(self.key).map_err(told)?),
+            key: Arc::new(storage.account_key(self.key).map_err(describe)?),
             contact: self.contact.clone(),
             external,
             url: storage.account_url(&self.directory),
@@ -127,16 +127,17 @@
     }
 }
 
-/// What a keeper tells.
+/// Events of a keeper.
 #[derive(Debug)]
 pub enum KeeperEvent {
-    /// Show this in new handshakes, or nothing.
+    /// Present this certificate in new handshakes, or none.
     Present(Option<Identity>),
-    /// Answer handshakes that ask for a proof with this, and say so on the channel; or no more.
+    /// Use this configuration for tls-alpn-01 handshakes, or stop using one if `None`; confirm on the
+    /// channel.
     Prove(Option<Arc<ServerConfig>>, Sender<()>),
-    /// What an operator should know.
+    /// A notice for the operator.
     Notice(RenewerNotice),
-    /// A file is of no use, or something could not be done.
+    /// A file can't be used, or an action failed.
     Complaint(String),
 }
 
@@ -146,7 +147,7 @@
     Stop,
 }
 
-/// A keeper on its thread.
+/// Handle of a keeper thread; dropping it stops the thread.
 #[derive(Debug)]
 pub struct Keeper {
     commands: Sender<Command>,
@@ -155,12 +156,12 @@
 }
 
 impl Keeper {
-    /// Starts one. What can be found wrong at once is found before this returns. `sink` is called on the keeper's
+    /// Starts a keeper. Errors that can be detected at start are returned. `sink` is called on the keeper's
     /// thread.
     ///
     /// # Errors
     ///
-    /// When storage, keys or the responder's address are of no use.
+    /// When storage, keys or the responder's address can't be used.
     pub fn start(
         settings: KeeperSettings,
         sink: impl Fn(KeeperEvent) + Send + 'static,
@@ -178,16 +179,17 @@
             async_io::block_on(executor.run(worker.run(inbox)));
         });
         let thread = thread.map_err(|error| error.to_string())?;
-        let address = started.recv().unwrap_or_else(|_| Err("its thread ended at once".to_owned()))?;
+        let address =
+            started.recv().unwrap_or_else(|_| Err("the keeper thread ended during start-up".to_owned()))?;
         Ok(Keeper { commands, thread: Some(thread), address })
     }
 
-    /// Where files for http-01 are served.
+    /// Returns the address on which http-01 challenge responses are served.
     pub fn challenge_address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// Orders a new certificate whatever the plan says.
+    /// Orders a new certificate regardless of the plan.
     pub fn renew_now(&self) {
         let _ = self.commands.try_send(Command::RenewNow);
     }
@@ -211,8 +213,8 @@
     challenge: ChallengeKind,
     key: KeyKind,
     lock: Option<Lock>,
-    complained: Vec<String>,
-    todo: VecDeque<RenewerOutput>,
+    reported_complaints: Vec<String>,
+    pending_outputs: VecDeque<RenewerOutput>,
     sink: Box<dyn Fn(KeeperEvent) + Send>,
 }
 
@@ -260,8 +262,8 @@
             challenge: settings.challenge,
             key: settings.key,
             lock: None,
-            complained: found.complaints,
-            todo: VecDeque::new(),
+            reported_complaints: found.complaints,
+            pending_outputs: VecDeque::new(),
             sink,
         })
     }
@@ -269,17 +271,17 @@
     async fn run(mut self, inbox: Receiver<Command>) {
         loop {
             self.input(RenewerInput::Tick);
-            while let Some(output) = self.todo.pop_front() {
-                self.carry_out(output).await;
+            while let Some(output) = self.pending_outputs.pop_front() {
+                self.execute(output).await;
             }
             let due = self.renewer.due(now()) - now();
-            let sleep = Duration::from_secs(due.max(0) as u64).clamp(SHORTEST, LONGEST);
-            let nothing = async {
+            let sleep = Duration::from_secs(due.max(0) as u64).clamp(MIN_SLEEP, MAX_SLEEP);
+            let timeout = async {
                 Timer::after(sleep).await;
                 Some(None)
             };
             let command = async { inbox.recv().await.ok().map(Some) };
-            match command.or(nothing).await {
+            match command.or(timeout).await {
                 Some(Some(Command::RenewNow)) => self.input(RenewerInput::RenewNow),
                 Some(None) => {}
                 Some(Some(Command::Stop)) | None => return,
@@ -290,26 +292,26 @@
     fn input(&mut self, input: RenewerInput) {
         let mut out = Vec::new();
         self.renewer.handle(now(), input, &mut out);
-        self.todo.extend(out);
+        self.pending_outputs.extend(out);
     }
 
-    /// What rests on something that could not be done is not done either.
+    /// Reports a failure and drops the pending outputs that depend on the failed one.
     fn failed(&mut self, why: impl ToString) {
         let kept = |output: &RenewerOutput| {
             matches!(output, RenewerOutput::Present(_) | RenewerOutput::Notice(_) | RenewerOutput::Unlock)
         };
-        self.todo.retain(kept);
+        self.pending_outputs.retain(kept);
         self.input(RenewerInput::Failed(why.to_string()));
     }
 
-    /// Complains once of each thing.
+    /// Reports each complaint once while it persists.
     fn complain(&mut self, complaints: Vec<String>) {
         for complaint in &complaints {
-            if !self.complained.contains(complaint) {
+            if !self.reported_complaints.contains(complaint) {
                 (self.sink)(KeeperEvent::Complaint(complaint.clone()));
             }
         }
-        self.complained = complaints;
+        self.reported_complaints = complaints;
     }
 
     fn stock(&mut self) -> Result<lemoncleat_acme::Snapshot, crate::StorageError> {
@@ -318,7 +320,7 @@
         Ok(stocked.snapshot)
     }
 
-    async fn carry_out(&mut self, output: RenewerOutput) {
+    async fn execute(&mut self, output: RenewerOutput) {
         match output {
             RenewerOutput::Look => match self.stock() {
                 Ok(found) => self.input(RenewerInput::Looked(found)),
@@ -327,7 +329,7 @@
             RenewerOutput::Lock => match self.storage.lock() {
                 Ok(Some(lock)) => {
                     self.lock = Some(lock);
-                    // An operator may have put another key in the account's place.
+                    // An operator may have replaced the account's key.
                     match self.storage.account_key(self.key) {
                         Ok(key) => self.renewer.rolled_over(Arc::new(key)),
                         Err(error) => return self.failed(error),
@@ -384,7 +386,7 @@
                     _ => match tls_alpn_pem(&proof)
                         .and_then(|pem| proof_config(&pem).map_err(|e| e.to_string()))
                     {
-                        Ok(config) => self.place(Some(config)).await,
+                        Ok(config) => self.provision_tls_alpn(Some(config)).await,
                         Err(why) => Err(why),
                     },
                 };
@@ -397,7 +399,7 @@
                 if let Some(responder) = &self.responder {
                     responder.clear();
                 } else {
-                    let _ = self.place(None).await;
+                    let _ = self.provision_tls_alpn(None).await;
                 }
             }
             RenewerOutput::Present(id) => {
@@ -419,14 +421,16 @@
         }
     }
 
-    /// Has a proof put in place by whoever answers handshakes.
-    async fn place(&self, config: Option<Arc<ServerConfig>>) -> Result<(), String> {
-        let (done, placed) = async_channel::bounded(1);
+    /// Passes a tls-alpn-01 configuration to the node and waits until it is in use.
+    async fn provision_tls_alpn(&self, config: Option<Arc<ServerConfig>>) -> Result<(), String> {
+        let (done, provisioned) = async_channel::bounded(1);
         (self.sink)(KeeperEvent::Prove(config, done));
-        let late = async {
-            Timer::after(PLACING).await;
-            Err("the node did not put the proof in place".to_owned())
+        let timeout = async {
+            Timer::after(PROVISION_TIMEOUT).await;
+            Err("the node did not provision the challenge response in time".to_owned())
         };
-        async { placed.recv().await.map_err(|_| "the node did not take the proof".to_owned()) }.or(late).await
+        async { provisioned.recv().await.map_err(|_| "the node dropped the challenge response".to_owned()) }
+            .or(timeout)
+            .await
     }
 }
--- a/crates/lemoncleat-certificates/src/lib.rs
+++ b/crates/lemoncleat-certificates/src/lib.rs
@@ -1,6 +1,6 @@
-//! What keeps a node in certificates, around the core of `lemoncleat-acme`: [`Storage`] on disk, [`Fetcher`] for HTTP
-//! to the authority, a responder and a handshake's certificate for proofs, and the [`Keeper`] whose thread runs the
-//! core. Nothing is decided here.
+//! I/O drivers for the ACME core in `lemoncleat-acme`: [`Storage`] on disk, [`Fetcher`] for HTTP to the
+//! authority, challenge responses for http-01 ([`Responder`]) and tls-alpn-01 ([`tls_alpn_pem`]), and the
+//! [`Keeper`], whose thread runs the core. All decisions are made in the core.
 
 mod fetch;
 mod keeper;
--- a/crates/lemoncleat-certificates/src/proof.rs
+++ b/crates/lemoncleat-certificates/src/proof.rs
@@ -1,4 +1,5 @@
-//! Proofs: the file for http-01 (RFC 8555 section 8.3), the certificate for tls-alpn-01 (RFC 8737 section 3).
+//! Challenge responses: the file for http-01 (RFC 8555 section 8.3) and the certificate for tls-alpn-01 (RFC
+//! 8737 section 3).
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,55 +17,56 @@
 use ring::digest;
 use zeroize::Zeroizing;
 
-/// Connections served at once; more are closed.
-const MOST: usize = 64;
-/// How long one may take.
-const TIME: Duration = Duration::from_secs(10);
-/// Pause after accepting failed, as when descriptors run out.
-const PAUSE: Duration = Duration::from_millis(50);
-const PATH: &str = "/.well-known/acme-challenge/";
+/// Maximum number of concurrent connections; further ones are closed.
+const MAX_CONNECTIONS: usize = 64;
+/// Time limit for one connection.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+const CHALLENGE_PATH: &str = "/.well-known/acme-challenge/";
 
-/// Serves the files that prove names.
+/// HTTP server for http-01 challenge responses.
 pub struct Responder {
     proofs: Rc<RefCell<HashMap<String, String>>>,
     address: SocketAddr,
 }
 
 impl Responder {
-    /// Serves on an address from now on, on this executor.
+    /// Starts serving on an address, on this executor.
     ///
     /// # Errors
     ///
-    /// When the address is not to be had.
+    /// When the address can't be bound.
     pub fn start(executor: &Rc<LocalExecutor<'static>>, address: SocketAddr) -> io::Result<Responder> {
         let listener = Async::<TcpListener>::bind(address)?;
         let address = listener.get_ref().local_addr()?;
         let proofs: Rc<RefCell<HashMap<String, String>>> = Rc::default();
-        // Not the executor itself, which owns this task.
-        let (served, inner) = (proofs.clone(), Rc::downgrade(executor));
+        // A weak reference: the executor owns this task, and a strong one would form a cycle.
+        let (served_proofs, weak_executor) = (proofs.clone(), Rc::downgrade(executor));
         executor
             .spawn(async move {
-                let open = Rc::new(Cell::new(0));
+                let open_connections = Rc::new(Cell::new(0));
                 loop {
                     let Ok((stream, _)) = listener.accept().await else {
-                        Timer::after(PAUSE).await;
+                        Timer::after(ACCEPT_RETRY_DELAY).await;
                         continue;
                     };
-                    let Some(executor) = inner.upgrade() else { return };
-                    if open.get() >= MOST {
+                    let Some(executor) = weak_executor.upgrade() else { return };
+                    if open_connections.get() >= MAX_CONNECTIONS {
                         continue;
                     }
-                    open.set(open.get() + 1);
-                    let (served, open) = (served.clone(), open.clone());
-                    let late = async {
-                        Timer::after(TIME).await;
+                    open_connections.set(open_connections.get() + 1);
+                    let (served_proofs, open_connections) = (served_proofs.clone(), open_connections.clone());
+                    let timeout = async {
+                        Timer::after(CONNECTION_TIMEOUT).await;
                         Ok(())
                     };
                     executor
                         .spawn(async move {
-                            // Whoever breaks off gets nothing; there is nobody to tell.
-                            let _ = serve(stream, &served).or(late).await;
-                            open.set(open.get() - 1);
+                            // Errors of a connection are ignored: the client has gone and there is nobody to
+                            // report them to.
+                            let _ = serve(stream, &served_proofs).or(timeout).await;
+                            open_connections.set(open_connections.get() - 1);
                         })
                         .detach();
                 }
@@ -73,17 +75,17 @@
         Ok(Responder { proofs, address })
     }
 
-    /// Where it serves.
+    /// Returns the address that it serves on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Puts a proof in place.
+    /// Adds a challenge response.
     pub fn put(&self, proof: &Proof) {
         self.proofs.borrow_mut().insert(proof.token.clone(), proof.authorization.clone());
     }
 
-    /// Takes all away.
+    /// Removes all challenge responses.
     pub fn clear(&self) {
         self.proofs.borrow_mut().clear();
     }
@@ -110,7 +112,7 @@
 
 fn answer(request: &Message, proofs: &HashMap<String, String>) -> Message {
     let token = match request.path() {
-        Some(("GET", path)) => path.strip_prefix(PATH),
+        Some(("GET", path)) => path.strip_prefix(CHALLENGE_PATH),
         _ => return Message::response(405),
     };
     match token.and_then(|token| proofs.get(token)) {
@@ -121,17 +123,17 @@
     }
 }
 
-/// Key and certificate, PEM, for the handshake that proves a name.
+/// Creates the key and certificate, PEM, for the tls-alpn-01 handshake that proves a name.
 ///
 /// # Errors
 ///
-/// When they can't be made.
+/// When they can't be generated.
 pub fn tls_alpn_pem(proof: &Proof) -> Result<Zeroizing<String>, String> {
-    let told = |error: rcgen::Error| error.to_string();
-    let key = KeyPair::generate().map_err(told)?;
-    let mut params = CertificateParams::new(vec![proof.name.clone()]).map_err(told)?;
+    let describe = |error: rcgen::Error| error.to_string();
+    let key = KeyPair::generate().map_err(describe)?;
+    let mut params = CertificateParams::new(vec![proof.name.clone()]).map_err(describe)?;
     let hash = digest::digest(&digest::SHA256, proof.authorization.as_bytes());
     params.custom_extensions = vec![CustomExtension::new_acme_identifier(hash.as_ref())];
-    let certificate = params.self_signed(&key).map_err(told)?;
+    let certificate = params.self_signed(&key).map_err(describe)?;
     Ok(Zeroizing::new(format!("{}{}", key.serialize_pem(), certificate.pem())))
 }
--- a/crates/lemoncleat-certificates/src/storage.rs
+++ b/crates/lemoncleat-certificates/src/storage.rs
@@ -1,17 +1,17 @@
-//! The directory in which keys, certificates and the state of an order are kept.
+//! Stores keys, certificates and the state of an order in a directory.
 //!
-//! A file is written under another name, synced and renamed, and its directory synced after it: whatever happens, a
-//! name leads to the whole old file or the whole new one. Key and chain of a certificate are one file, so that they
-//! can't fall apart. All files are for their owner alone (mode 0600).
+//! A file is written under a temporary name, synced and renamed, and then its directory is synced: after a
+//! crash a name refers to the complete old file or the complete new one. Key and chain of a certificate are
+//! in one file, so that they can't get out of step. All files are readable by their owner only (mode 0600).
 //!
-//! | file | what |
+//! | file | content |
 //! | --- | --- |
 //! | `account.key`, `account.json` | the account's key (PKCS #8, PEM), its URL and authority |
-//! | `account.next.key` | a new key whose roll-over is under way |
-//! | `order.key`, `order.json` | the key that is being certified, and how its order stands |
+//! | `account.next.key` | a new account key whose roll-over is in progress |
+//! | `order.key`, `order.json` | the key that is being certified, and the state of its order |
 //! | `certificate-UNTIL-N.pem` | key and chain |
-//! | `tried.json` | what came of the latest tries |
-//! | `lock` | held by the process that orders |
+//! | `tried.json` | the outcome of the latest attempts |
+//! | `lock` | locked by the process that is ordering |
 
 use std::fmt;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -34,10 +34,10 @@
 const ORDER: &str = "order.json";
 const TRIED: &str = "tried.json";
 const LOCK: &str = "lock";
-/// Longest file that is read.
-const LONGEST: u64 = 1 << 20;
+/// Maximum size of a file that is read.
+const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// What went wrong with a file: which, and what.
+/// An error with a file; the message names the file.
 #[derive(Debug)]
 pub struct StorageError(String);
 
@@ -49,47 +49,51 @@
 
 impl std::error::Error for StorageError {}
 
-fn at(path: &Path, why: impl fmt::Display) -> StorageError {
+fn file_error(path: &Path, why: impl fmt::Display) -> StorageError {
     StorageError(format!("{}: {why}", path.display()))
 }
 
-/// What an account is known by.
+/// Content of `account.json`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct AccountFile {
     directory: String,
     url: Option<String>,
 }
 
-/// Storage as it was found, with complaints about files that are of no use; they are left where they are.
+/// The state read from storage, with complaints about unusable files; those files are left in place.
 #[derive(Debug, Default)]
 pub struct Stocked {
-    /// What is of use.
+    /// The usable state.
     pub snapshot: Snapshot,
-    /// What is not, a line each.
+    /// One line for each unusable file.
     pub complaints: Vec<String>,
 }
 
-/// Held as long as it lives; the kernel gives it back when the process ends, however that is.
+/// The lock, held until dropped. The kernel releases it when the process ends for any reason.
 #[derive(Debug)]
 pub struct Lock(#[allow(dead_code)] File);
 
-/// The directory.
+/// A storage directory for certificates of one set of names.
 #[derive(Clone, Debug)]
 pub struct Storage {
     dir: PathBuf,
     names: Vec<String>,
 }
 
-static NEXT: AtomicU64 = AtomicU64::new(0);
+static NEXT_TEMPORARY_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 impl Storage {
-    /// Opens the directory for certificates of these names, and makes it if it is not there.
+    /// Opens the directory for certificates of these names, creating it if necessary.
     ///
     /// # Errors
     ///
-    /// When it can't be made.
+    /// When it can't be created.
     pub fn open(dir: &Path, names: &[String]) -> Result<Storage, StorageError> {
-        fs::DirBuilder::new().recursive(true).mode(0o700).create(dir).map_err(|error| at(dir, error))?;
+        fs::DirBuilder::new()
+            .recursive(true)
+            .mode(0o700)
+            .create(dir)
+            .map_err(|error| file_error(dir, error))?;
         Ok(Storage { dir: dir.to_owned(), names: names.to_vec() })
     }
 
@@ -101,31 +105,32 @@
         File::open(&self.dir)?.sync_all()
     }
 
-    /// A file that is not seen under its name before it is whole.
-    fn draft(&self, name: &str, bytes: &[u8]) -> io::Result<PathBuf> {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let draft = self.path(&format!("{name}.{}.{number}.tmp", std::process::id()));
-        let mut file = OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&draft)?;
+    /// Writes and syncs a temporary file; the caller moves it to its final name.
+    fn write_temporary(&self, name: &str, bytes: &[u8]) -> io::Result<PathBuf> {
+        let number = NEXT_TEMPORARY_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let temporary = self.path(&format!("{name}.{}.{number}.tmp", std::process::id()));
+        let mut file =
+            OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&temporary)?;
         file.write_all(bytes)?;
         file.sync_all()?;
-        Ok(draft)
+        Ok(temporary)
     }
 
     fn put(&self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let put = || {
-            let draft = self.draft(name, bytes)?;
-            fs::rename(&draft, self.path(name))?;
+            let temporary = self.write_temporary(name, bytes)?;
+            fs::rename(&temporary, self.path(name))?;
             self.sync()
         };
-        put().map_err(|error| at(&self.path(name), error))
+        put().map_err(|error| file_error(&self.path(name), error))
     }
 
-    /// The same, unless the name is taken; whether it was put.
+    /// Like `put`, but does not replace an existing file; returns whether the file was created.
     fn put_first(&self, name: &str, bytes: &[u8]) -> Result<bool, StorageError> {
         let put = || {
-            let draft = self.draft(name, bytes)?;
-            let linked = fs::hard_link(&draft, self.path(name));
-            fs::remove_file(&draft)?;
+            let temporary = self.write_temporary(name, bytes)?;
+            let linked = fs::hard_link(&temporary, self.path(name));
+            fs::remove_file(&temporary)?;
             match linked {
                 Err(error) if error.kind() == io::ErrorKind::AlreadyExists => return Ok(false),
                 linked => linked?,
@@ -133,13 +138,13 @@
             self.sync()?;
             Ok(true)
         };
-        put().map_err(|error: io::Error| at(&self.path(name), error))
+        put().map_err(|error: io::Error| file_error(&self.path(name), error))
     }
 
     fn remove(&self, name: &str) -> Result<(), StorageError> {
         match fs::remove_file(self.path(name)) {
-            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(at(&self.path(name), error)),
-            _ => self.sync().map_err(|error| at(&self.dir, error)),
+            Err(error) if error.kind() != io::ErrorKind::NotFound => Err(file_error(&self.path(name), error)),
+            _ => self.sync().map_err(|error| file_error(&self.dir, error)),
         }
     }
 
@@ -147,14 +152,18 @@
         let path = self.path(name);
         match fs::metadata(&path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(at(&path, error)),
-            Ok(known) if known.len() > LONGEST => return Err(at(&path, "longer than such a file may be")),
+            Err(error) => return Err(file_error(&path, error)),
+            Ok(known) if known.len() > MAX_FILE_BYTES => {
+                return Err(file_error(&path, "the file exceeds the size limit of 1 MiB"))
+            }
             Ok(_) => {}
         }
-        fs::read_to_string(&path).map(|text| Some(Zeroizing::new(text))).map_err(|error| at(&path, error))
+        fs::read_to_string(&path)
+            .map(|text| Some(Zeroizing::new(text)))
+            .map_err(|error| file_error(&path, error))
     }
 
-    /// A file of state; one that makes no sense is complained of and counts as none.
+    /// Reads a JSON state file; an unreadable one adds a complaint and yields the default.
     fn state<T: DeserializeOwned + Default>(&self, name: &str, complaints: &mut Vec<String>) -> T {
         let text = match self.get(name) {
             Ok(Some(text)) => text,
@@ -171,7 +180,8 @@
     }
 
     fn put_state(&self, name: &str, state: &impl Serialize) -> Result<(), StorageError> {
-        let text = serde_json::to_string_pretty(state).map_err(|error| at(&self.path(name), error))?;
+        let text =
+            serde_json::to_string_pretty(state).map_err(|error| file_error(&self.path(name), error))?;
         self.put(name, text.as_bytes())
     }
 
@@ -179,13 +189,14 @@
 
     fn key_of(&self, name: &str) -> Result<Option<AccountKey>, StorageError> {
         let Some(text) = self.get(name)? else { return Ok(None) };
-        let wrong =
-            |why: String| at(&self.path(name), format!("{why}; put a good copy back or remove the file"));
-        let der = pem_key(&text).map_err(wrong)?;
-        AccountKey::read(&der).map(Some).map_err(wrong)
+        let describe = |why: String| {
+            file_error(&self.path(name), format!("{why}; put a good copy back or remove the file"))
+        };
+        let der = pem_key(&text).map_err(describe)?;
+        AccountKey::read(&der).map(Some).map_err(describe)
     }
 
-    /// The account's key; a new one where there is none.
+    /// Returns the account's key, creating it if there is none.
     ///
     /// # Errors
     ///
@@ -194,19 +205,19 @@
         if let Some(key) = self.key_of(ACCOUNT_KEY)? {
             return Ok(key);
         }
-        let der = AccountKey::generate(kind).map_err(|why| at(&self.path(ACCOUNT_KEY), why))?;
-        // Of several that start at once, one makes the key and all use it.
+        let der = AccountKey::generate(kind).map_err(|why| file_error(&self.path(ACCOUNT_KEY), why))?;
+        // Of several processes starting at once, one creates the key and all use it.
         self.put_first(ACCOUNT_KEY, key_pem(&der).as_bytes())?;
-        self.key_of(ACCOUNT_KEY)?.ok_or_else(|| at(&self.path(ACCOUNT_KEY), "it is gone again"))
+        self.key_of(ACCOUNT_KEY)?.ok_or_else(|| file_error(&self.path(ACCOUNT_KEY), "it is gone again"))
     }
 
-    /// The account's URL, if it is one of this authority's.
+    /// Returns the account's URL if it belongs to this authority.
     pub fn account_url(&self, directory: &str) -> Option<String> {
         let file: AccountFile = self.state(ACCOUNT, &mut Vec::new());
         file.url.filter(|_| file.directory == directory)
     }
 
-    /// Keeps the account's URL.
+    /// Stores the account's URL.
     ///
     /// # Errors
     ///
@@ -216,7 +227,7 @@
         self.put_state(ACCOUNT, &file)
     }
 
-    /// The key of a roll-over that was begun and not ended.
+    /// Returns the new key of an unfinished roll-over.
     ///
     /// # Errors
     ///
@@ -225,18 +236,19 @@
         self.key_of(NEXT_KEY)
     }
 
-    /// Makes the key of a roll-over; it is on disk before the authority hears of it.
+    /// Creates the new key of a roll-over; it is on disk before it is sent to the authority.
     ///
     /// # Errors
     ///
     /// When it can't be written.
     pub fn make_next_key(&self, kind: KeyKind) -> Result<AccountKey, StorageError> {
-        let der = AccountKey::generate(kind).map_err(|why| at(&self.path(NEXT_KEY), why))?;
+        let der = AccountKey::generate(kind).map_err(|why| file_error(&self.path(NEXT_KEY), why))?;
         self.put(NEXT_KEY, key_pem(&der).as_bytes())?;
-        self.key_of(NEXT_KEY)?.ok_or_else(|| at(&self.path(NEXT_KEY), "it is gone again"))
+        self.key_of(NEXT_KEY)?.ok_or_else(|| file_error(&self.path(NEXT_KEY), "it is gone again"))
     }
 
-    /// The roll-over is done (the next key is the account's), or it was refused (the next key is dropped).
+    /// Finishes a roll-over: if it succeeded the new key becomes the account's, otherwise the new key is
+    /// removed.
     ///
     /// # Errors
     ///
@@ -247,12 +259,13 @@
         }
         fs::rename(self.path(NEXT_KEY), self.path(ACCOUNT_KEY))
             .and_then(|()| self.sync())
-            .map_err(|error| at(&self.path(ACCOUNT_KEY), error))
+            .map_err(|error| file_error(&self.path(ACCOUNT_KEY), error))
     }
 
     // ---- Orders and certificates ----
 
-    /// Takes the lock; `None` while another process holds it. Drafts that a killed process left are removed.
+    /// Takes the lock; returns `None` while another process holds it. Removes temporary files left by a
+    /// killed process.
     ///
     /// # Errors
     ///
@@ -260,11 +273,11 @@
     pub fn lock(&self) -> Result<Option<Lock>, StorageError> {
         let path = self.path(LOCK);
         let file = OpenOptions::new().write(true).create(true).truncate(false).mode(0o600).open(&path);
-        let file = file.map_err(|error| at(&path, error))?;
+        let file = file.map_err(|error| file_error(&path, error))?;
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => return Ok(None),
-            Err(TryLockError::Error(error)) => return Err(at(&path, error)),
+            Err(TryLockError::Error(error)) => return Err(file_error(&path, error)),
         }
         let own = format!(".{}.", std::process::id());
         for name in self.files()? {
@@ -277,15 +290,15 @@
 
     fn files(&self) -> Result<Vec<String>, StorageError> {
         let mut names = Vec::new();
-        for entry in fs::read_dir(&self.dir).map_err(|error| at(&self.dir, error))? {
-            let entry = entry.map_err(|error| at(&self.dir, error))?;
+        for entry in fs::read_dir(&self.dir).map_err(|error| file_error(&self.dir, error))? {
+            let entry = entry.map_err(|error| file_error(&self.dir, error))?;
             names.extend(entry.file_name().into_string());
         }
         names.sort();
         Ok(names)
     }
 
-    /// Looks at all that is there.
+    /// Reads the state of the whole directory.
     ///
     /// # Errors
     ///
@@ -306,7 +319,7 @@
         }
         let tried: Tried = self.state(TRIED, &mut complaints);
         let order: Option<Stored> = self.state(ORDER, &mut complaints);
-        // An order without its key would end in a certificate that nobody can use.
+        // An order without its key would produce a certificate that can't be used.
         let order = order.filter(|_| match self.order_key() {
             Ok(key) => key.is_some(),
             Err(error) => {
@@ -317,59 +330,59 @@
         Ok(Stocked { snapshot: Snapshot { certificates, tried, order }, complaints })
     }
 
-    /// What a stored certificate says; `None` if it is for other names than these.
+    /// Parses a stored certificate; returns `None` if it does not cover the configured names.
     fn certificate(&self, id: &str) -> Result<Option<Chain>, StorageError> {
         let path = self.path(&format!("certificate-{id}.pem"));
         let text = self.certificate_text(id)?;
-        let chain = Chain::read(&text).map_err(|why| at(&path, why))?;
+        let chain = Chain::read(&text).map_err(|why| file_error(&path, why))?;
         if self.names.iter().any(|name| !chain.names.contains(&name.to_ascii_lowercase())) {
             return Ok(None);
         }
-        let key = KeyPair::from_pem(&text).map_err(|error| at(&path, format!("no key: {error}")))?;
+        let key = KeyPair::from_pem(&text).map_err(|error| file_error(&path, format!("no key: {error}")))?;
         match key.subject_public_key_info() == chain.public_key {
             true => Ok(Some(chain)),
-            false => Err(at(&path, "key and certificate do not belong together")),
+            false => Err(file_error(&path, "key and certificate do not belong together")),
         }
     }
 
-    /// A stored certificate: key and chain, PEM.
+    /// Returns the key and chain of a stored certificate, PEM.
     ///
     /// # Errors
     ///
-    /// When it is not there.
+    /// When it does not exist.
     pub fn certificate_text(&self, id: &str) -> Result<Zeroizing<String>, StorageError> {
         let name = format!("certificate-{id}.pem");
-        self.get(&name)?.ok_or_else(|| at(&self.path(&name), "it is gone"))
+        self.get(&name)?.ok_or_else(|| file_error(&self.path(&name), "it is gone"))
     }
 
     fn order_key(&self) -> Result<Option<KeyPair>, StorageError> {
         let Some(text) = self.get(ORDER_KEY)? else { return Ok(None) };
         KeyPair::from_pem(&text)
             .map(Some)
-            .map_err(|error| at(&self.path(ORDER_KEY), format!("no key: {error}")))
+            .map_err(|error| file_error(&self.path(ORDER_KEY), format!("no key: {error}")))
     }
 
-    /// The key of the order under way or a fresh one, with the request for its certificate.
+    /// Returns the public key and CSR for the key of the order in progress, or for a new key.
     ///
     /// # Errors
     ///
     /// When the key is damaged or can't be written.
     pub fn prepare(&self, fresh: bool) -> Result<Prepared, StorageError> {
         let path = self.path(ORDER_KEY);
-        let wrong = |error: rcgen::Error| at(&path, error);
+        let describe = |error: rcgen::Error| file_error(&path, error);
         if fresh {
-            // The old order goes first: it must never be found beside a key that is not its own.
+            // The old order is removed first: it must never be found with a key that is not its own.
             self.remove(ORDER)?;
-            let key = KeyPair::generate().map_err(wrong)?;
+            let key = KeyPair::generate().map_err(describe)?;
             self.put(ORDER_KEY, Zeroizing::new(key.serialize_pem()).as_bytes())?;
         }
-        let key = self.order_key()?.ok_or_else(|| at(&path, "it is gone"))?;
-        let params = CertificateParams::new(self.names.clone()).map_err(wrong)?;
-        let csr = params.serialize_request(&key).map_err(wrong)?;
+        let key = self.order_key()?.ok_or_else(|| file_error(&path, "it is gone"))?;
+        let params = CertificateParams::new(self.names.clone()).map_err(describe)?;
+        let csr = params.serialize_request(&key).map_err(describe)?;
         Ok(Prepared { csr: csr.der().to_vec(), public_key: key.subject_public_key_info() })
     }
 
-    /// Keeps how the order stands.
+    /// Stores the order's state.
     ///
     /// # Errors
     ///
@@ -378,7 +391,7 @@
         self.put_state(ORDER, order)
     }
 
-    /// Forgets the order and its key.
+    /// Removes the order and its key.
     ///
     /// # Errors
     ///
@@ -388,7 +401,7 @@
         self.remove(ORDER_KEY)
     }
 
-    /// Keeps what came of the latest tries.
+    /// Stores the outcome of the latest attempts.
     ///
     /// # Errors
     ///
@@ -397,14 +410,14 @@
         self.put_state(TRIED, tried)
     }
 
-    /// Keeps a chain with the order's key, and forgets the order.
+    /// Stores a chain with the order's key and removes the order.
     ///
     /// # Errors
     ///
-    /// When it can't be written or does not fit the key.
+    /// When the order's key is missing, or the chain can't be parsed or written.
     pub fn put_certificate(&self, pem: &str) -> Result<Held, StorageError> {
-        let key = self.get(ORDER_KEY)?.ok_or_else(|| at(&self.path(ORDER_KEY), "it is gone"))?;
-        let chain = Chain::read(pem).map_err(|why| at(&self.dir, why))?;
+        let key = self.get(ORDER_KEY)?.ok_or_else(|| file_error(&self.path(ORDER_KEY), "it is gone"))?;
+        let chain = Chain::read(pem).map_err(|why| file_error(&self.dir, why))?;
         let until: Seconds = chain.validity.until;
         let mut number = 0;
         let text = Zeroizing::new(format!("{}{}", key.as_str(), pem));
@@ -419,7 +432,7 @@
         Ok(Held { id, chain })
     }
 
-    /// Forgets a certificate.
+    /// Removes a certificate.
     ///
     /// # Errors
     ///
@@ -433,9 +446,9 @@
     Zeroizing::new(pem::encode(&pem::Pem::new("PRIVATE KEY", der)))
 }
 
-/// The bytes of the first private key in a text.
+/// Decodes the first private key in a PEM text.
 fn pem_key(text: &str) -> Result<Zeroizing<Vec<u8>>, String> {
-    let blocks = pem::parse_many(text).map_err(|error| format!("no PEM: {error}"))?;
+    let blocks = pem::parse_many(text).map_err(|error| format!("invalid PEM: {error}"))?;
     let key = blocks.into_iter().find(|block| block.tag() == "PRIVATE KEY");
     key.map(|block| Zeroizing::new(block.into_contents())).ok_or_else(|| "no private key in PEM".to_owned())
 }
