--- a/crates/lemoncleat-authority/src/authority.rs
+++ b/crates/lemoncleat-authority/src/authority.rs
@@ -1,4 +1,4 @@
-//! The authority: accounts, orders, authorizations, certificates.
+//! The authority's state machine: accounts, orders, authorizations and certificates.
 
 use std::collections::HashSet;
 
@@ -18,27 +18,28 @@
 /// Seconds since 1970.
 type Seconds = i64;
 
-/// What an authority is told at its start.
+/// Settings of an authority.
 #[derive(Clone, Debug)]
 pub struct AuthoritySettings {
-    /// What its URLs begin with, without a slash at the end.
+    /// Base of its URLs, without a trailing slash.
     pub base: String,
-    /// How long its certificates last, in seconds.
+    /// Lifetime of its certificates, in seconds.
     pub lifetime: Seconds,
-    /// How long ago their validity began when they are issued.
+    /// Seconds by which notBefore precedes the time of issue.
     pub backdate: Seconds,
-    /// The account that new ones must be bound to: key identifier and key.
+    /// The external account that new accounts must be bound to: key identifier and key.
     pub external: Option<(String, Vec<u8>)>,
-    /// The window of renewal information, as shares of a certificate's life; none is offered without.
+    /// The suggested renewal window as fractions of a certificate's lifetime; `None` offers no renewal
+    /// information.
     pub window: Option<(f64, f64)>,
-    /// Seed of its tokens, nonces and random failures.
+    /// Seed for tokens, nonces and random failures.
     pub seed: u64,
 }
 
-/// What the authority wants to have looked at.
+/// A validation that the driver must perform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToValidate {
-    /// Which authorization; told back with [`Authority::validated`].
+    /// The authorization's number, to be passed to [`Authority::validated`].
     pub authorization: usize,
     /// http-01 or tls-alpn-01.
     pub kind: String,
@@ -46,22 +47,22 @@
     pub name: String,
     /// The challenge's token.
     pub token: String,
-    /// What must be found.
+    /// The expected key authorization.
     pub expected: String,
 }
 
-/// A certificate that was issued.
+/// An issued certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Issued {
     /// Its names.
     pub names: Vec<String>,
-    /// When it was issued, by the world's clock.
+    /// Time of issue by the caller's clock, without [`Faults::ahead`].
     pub at: Seconds,
-    /// From when to when it is valid.
+    /// Its validity period.
     pub validity: (Seconds, Seconds),
     /// Its chains, PEM.
     pub chains: [String; 2],
-    /// It was revoked.
+    /// Whether it was revoked.
     pub revoked: bool,
 }
 
@@ -72,7 +73,7 @@
     authorizations: Vec<usize>,
     status: &'static str,
     certificate: Option<usize>,
-    /// Times that it is still told to be processing.
+    /// Number of times it will still be reported as processing.
     processing: u32,
 }
 
@@ -81,16 +82,16 @@
     account: usize,
     name: String,
     status: &'static str,
-    /// Answered, not looked at yet.
-    asked: Option<&'static str>,
+    /// The challenge type that the client answered and that is not validated yet.
+    answered: Option<&'static str>,
     token: String,
     problem: Option<String>,
 }
 
-/// A stand-in authority.
+/// A test authority without I/O.
 pub struct Authority {
     settings: AuthoritySettings,
-    /// How it fails; may be changed at any time.
+    /// Scripted failures; may be changed at any time.
     pub faults: Faults,
     keys: IssuerKeys,
     rng: SmallRng,
@@ -99,25 +100,25 @@
     orders: Vec<Order>,
     authorizations: Vec<Authorization>,
     issued: Vec<Issued>,
-    placed: Vec<Seconds>,
+    order_times: Vec<Seconds>,
     complaints: Vec<String>,
     requests: Vec<(Seconds, String)>,
 }
 
-type Answer = Result<Message, Message>;
+type HandlerResult = Result<Message, Message>;
 
-const KINDS: [&str; 2] = ["http-01", "tls-alpn-01"];
+const CHALLENGE_TYPES: [&str; 2] = ["http-01", "tls-alpn-01"];
 
 fn json_message(status: u16, body: &Value) -> Message {
     Message::response(status).with_body("application/json", body.to_string())
 }
 
 impl Authority {
-    /// An authority without accounts.
+    /// Creates an authority without accounts.
     ///
     /// # Errors
     ///
-    /// When its own keys or certificates can't be made.
+    /// When its own keys or certificates can't be generated.
     pub fn new(settings: AuthoritySettings, now: Seconds) -> Result<Authority, String> {
         let keys = IssuerKeys::new(now).map_err(|error| error.to_string())?;
         Ok(Authority {
@@ -130,59 +131,60 @@
             orders: Vec::new(),
             authorizations: Vec::new(),
             issued: Vec::new(),
-            placed: Vec::new(),
+            order_times: Vec::new(),
             complaints: Vec::new(),
             requests: Vec::new(),
         })
     }
 
-    /// Its root certificates, PEM: that of its own chains first.
+    /// Returns its root certificates, PEM: the root of the default chains first.
     pub fn roots(&self) -> &[String; 2] {
         &self.keys.roots
     }
 
-    /// Where its directory is.
+    /// Returns the URL of its directory.
     pub fn directory(&self) -> String {
         self.url("directory")
     }
 
-    /// Certificates that it issued, the oldest first.
+    /// Returns the issued certificates, oldest first.
     pub fn issued(&self) -> &[Issued] {
         &self.issued
     }
 
-    /// Orders that were placed.
+    /// Returns the number of orders placed.
     pub fn orders_placed(&self) -> usize {
         self.orders.len()
     }
 
-    /// What clients did that no client may do: bad signatures, nonces of their own, wrong URLs.
+    /// Returns the protocol violations by clients, such as bad signatures, unknown nonces or wrong URLs.
     pub fn complaints(&self) -> &[String] {
         &self.complaints
     }
 
-    /// Every request that came: when, and its path.
+    /// Returns the time and path of every request received.
     pub fn requests(&self) -> &[(Seconds, String)] {
         &self.requests
     }
 
-    /// A certificate of its intermediate for a party of a rehearsal, without an order: chain and key, PEM.
+    /// Issues a certificate from the intermediate without an order, for use in tests; returns chain and key,
+    /// PEM.
     ///
     /// # Errors
     ///
-    /// When it can't be made.
+    /// When it can't be generated.
     pub fn issue_plainly(
         &mut self,
         names: &[String],
         validity: (Seconds, Seconds),
     ) -> Result<(String, String), String> {
-        let told = |error: rcgen::Error| error.to_string();
-        let key = rcgen::KeyPair::generate().map_err(told)?;
-        let params = rcgen::CertificateParams::new(names.to_vec()).map_err(told)?;
-        let csr = params.serialize_request(&key).map_err(told)?;
-        let csr = CertificateSigningRequestParams::from_der(csr.der()).map_err(told)?;
+        let detail = |error: rcgen::Error| error.to_string();
+        let key = rcgen::KeyPair::generate().map_err(detail)?;
+        let params = rcgen::CertificateParams::new(names.to_vec()).map_err(detail)?;
+        let csr = params.serialize_request(&key).map_err(detail)?;
+        let csr = CertificateSigningRequestParams::from_der(csr.der()).map_err(detail)?;
         let serial = self.rng.random();
-        let [chain, _] = self.keys.issue(csr, serial, validity, None).map_err(told)?;
+        let [chain, _] = self.keys.issue(csr, serial, validity, None).map_err(detail)?;
         Ok((chain, key.serialize_pem()))
     }
 
@@ -231,7 +233,7 @@
         answer.with("Link", &format!("<{directory}>;rel=\"index\"")).with("Cache-Control", "no-store")
     }
 
-    fn refused(&mut self, stage: Stage) -> Result<(), Message> {
+    fn check_scripted_refusal(&mut self, stage: Stage) -> Result<(), Message> {
         let Some(at) = self.faults.refuse.iter().position(|(on, ..)| *on == stage) else { return Ok(()) };
         let (_, status, kind, left) = &mut self.faults.refuse[at];
         let (status, kind) = (*status, *kind);
@@ -242,12 +244,12 @@
         Err(self.problem(status, kind, "refused by the script"))
     }
 
-    fn answer(&mut self, now: Seconds, method: &str, path: &str, request: &Message) -> Answer {
+    fn answer(&mut self, now: Seconds, method: &str, path: &str, request: &Message) -> HandlerResult {
         let path = path.trim_start_matches('/');
         let (kind, rest) = path.split_once('/').unwrap_or((path, ""));
         match (method, kind) {
             ("GET", "directory") => {
-                self.refused(Stage::Directory)?;
+                self.check_scripted_refusal(Stage::Directory)?;
                 let url = |name: &str| self.url(name);
                 let mut directory = json!({
                     "newNonce": url("new-nonce"), "newAccount": url("new-account"), "newOrder": url("new-order"),
@@ -260,7 +262,7 @@
                 return Ok(json_message(200, &directory));
             }
             ("HEAD" | "GET", "new-nonce") => {
-                self.refused(Stage::Nonce)?;
+                self.check_scripted_refusal(Stage::Nonce)?;
                 return Ok(Message::response(if method == "HEAD" { 200 } else { 204 }));
             }
             ("GET", "renewal-info") => return self.renewal_info(rest),
@@ -273,16 +275,16 @@
         }
         let jws = serde_json::from_slice(&request.body).ok().and_then(|value| Jws::parse(&value));
         let Some(jws) = jws else {
-            return Err(self.complain(400, "malformed", "the body is no flattened JWS"));
+            return Err(self.complain(400, "malformed", "the body is not a flattened JWS"));
         };
         let url = self.url(path);
         if jws.protected["url"] != url.as_str() {
-            let told = format!("signed for {}, sent to {url}", jws.protected["url"]);
-            return Err(self.complain(401, "unauthorized", &told));
+            let detail = format!("signed for {}, sent to {url}", jws.protected["url"]);
+            return Err(self.complain(401, "unauthorized", &detail));
         }
         let fresh = jws.protected["nonce"].as_str().is_some_and(|nonce| self.nonces.remove(nonce));
         if !fresh {
-            return Err(self.complain(400, "badNonce", "a nonce that was not given out, or was used"));
+            return Err(self.complain(400, "badNonce", "the nonce was not issued or has been used"));
         }
         if self.faults.bad_nonces > 0.0 && self.rng.random_bool(self.faults.bad_nonces.min(1.0)) {
             return Err(self.problem(400, "badNonce", "refused by the script"));
@@ -308,45 +310,52 @@
         match (kind, jws.payload.as_ref()) {
             ("new-order", Some(payload)) => self.new_order(now, account, payload),
             ("order", None) => {
-                self.refused(Stage::Order)?;
+                self.check_scripted_refusal(Stage::Order)?;
                 self.order(number(), account)
             }
             ("authorization", None) => {
-                self.refused(Stage::Authorization)?;
+                self.check_scripted_refusal(Stage::Authorization)?;
                 self.authorization(number(), account)
             }
             ("challenge", Some(payload)) => {
-                self.refused(Stage::Challenge)?;
+                self.check_scripted_refusal(Stage::Challenge)?;
                 if payload != &json!({}) {
-                    return Err(self.complain(400, "malformed", "a challenge is answered with {}"));
+                    return Err(self.complain(400, "malformed", "expected {} as the payload of a challenge"));
                 }
-                let kind =
-                    rest.split('/').nth(1).and_then(|name| KINDS.into_iter().find(|kind| *kind == name));
+                let kind = rest
+                    .split('/')
+                    .nth(1)
+                    .and_then(|name| CHALLENGE_TYPES.into_iter().find(|kind| *kind == name));
                 self.challenge(number(), kind, account)
             }
             ("finalize", Some(payload)) => self.finalize(now, number(), account, payload),
             ("certificate", None) => {
-                self.refused(Stage::Download)?;
+                self.check_scripted_refusal(Stage::Download)?;
                 self.download(number(), account, rest.ends_with("/other"))
             }
             ("revoke-cert", Some(payload)) => self.revoke(payload),
             ("key-change", Some(payload)) => self.key_change(account, payload, &url),
             (kind, payload) => {
-                let told = format!("{kind} {} a payload", if payload.is_some() { "with" } else { "without" });
-                Err(self.complain(404, "malformed", &told))
+                let detail =
+                    format!("{kind} {} a payload", if payload.is_some() { "with" } else { "without" });
+                Err(self.complain(404, "malformed", &detail))
             }
         }
     }
 
-    fn new_account(&mut self, jws: &Jws) -> Answer {
-        self.refused(Stage::Account)?;
+    fn new_account(&mut self, jws: &Jws) -> HandlerResult {
+        self.check_scripted_refusal(Stage::Account)?;
         let jwk = jws.protected["jwk"].clone();
         if jwk.is_null() || !jws.protected["kid"].is_null() || !jws.verify(&jwk) {
-            return Err(self.complain(401, "unauthorized", "a new account is signed by its key, with jwk"));
+            return Err(self.complain(
+                401,
+                "unauthorized",
+                "a new account must be signed by its key, with jwk",
+            ));
         }
         let payload = jws.payload.clone().unwrap_or(Value::Null);
-        let known = self.accounts.iter().position(|(known, valid)| *valid && *known == jwk);
-        if let Some(number) = known {
+        let existing = self.accounts.iter().position(|(existing, valid)| *valid && *existing == jwk);
+        if let Some(number) = existing {
             let url = self.url(&format!("account/{number}"));
             return Ok(json_message(200, &json!({"status": "valid"})).with("Location", &url));
         }
@@ -354,7 +363,7 @@
             return Err(self.problem(400, "accountDoesNotExist", "no account has this key"));
         }
         if payload["termsOfServiceAgreed"] != true {
-            return Err(self.problem(403, "userActionRequired", "the terms are not agreed to"));
+            return Err(self.problem(403, "userActionRequired", "the terms of service are not agreed to"));
         }
         if let Some((key_id, secret)) = self.settings.external.clone() {
             let binding = &payload["externalAccountBinding"];
@@ -376,7 +385,11 @@
                 && inner.as_ref() == Some(&jwk)
                 && hmac::verify(&key, signed.as_bytes(), &tag).is_ok();
             if !fits {
-                return Err(self.problem(403, "externalAccountRequired", "no good external binding"));
+                return Err(self.problem(
+                    403,
+                    "externalAccountRequired",
+                    "no valid external account binding",
+                ));
             }
         }
         self.accounts.push((jwk, true));
@@ -384,12 +397,12 @@
         Ok(json_message(201, &json!({"status": "valid"})).with("Location", &url))
     }
 
-    fn new_order(&mut self, now: Seconds, account: usize, payload: &Value) -> Answer {
-        self.refused(Stage::NewOrder)?;
+    fn new_order(&mut self, now: Seconds, account: usize, payload: &Value) -> HandlerResult {
+        self.check_scripted_refusal(Stage::NewOrder)?;
         if let Some((most, span)) = self.faults.orders_within {
-            self.placed.retain(|at| now - at < span);
-            if self.placed.len() >= most {
-                let wait = self.placed.first().map_or(span, |first| first + span - now);
+            self.order_times.retain(|at| now - at < span);
+            if self.order_times.len() >= most {
+                let wait = self.order_times.first().map_or(span, |first| first + span - now);
                 let message = self.problem(429, "rateLimited", "too many orders");
                 return Err(message.with("Retry-After", &wait.max(1).to_string()));
             }
@@ -401,16 +414,16 @@
             .filter_map(|identifier| identifier["value"].as_str().map(str::to_owned))
             .collect();
         if names.is_empty() || names.len() != identifiers.len() {
-            return Err(self.complain(400, "malformed", "an order without good identifiers"));
+            return Err(self.complain(400, "malformed", "the order has invalid identifiers"));
         }
-        self.placed.push(now);
+        self.order_times.push(now);
         let authorizations = names.iter().map(|name| {
             let bytes: [u8; 16] = self.rng.random();
             Authorization {
                 account,
                 name: name.clone(),
                 status: "pending",
-                asked: None,
+                answered: None,
                 token: encode(&bytes),
                 problem: None,
             }
@@ -452,7 +465,7 @@
         number.ok_or_else(|| self.problem(404, "malformed", "no such order"))
     }
 
-    fn order(&mut self, number: Option<usize>, account: usize) -> Answer {
+    fn order(&mut self, number: Option<usize>, account: usize) -> HandlerResult {
         let number = self.own_order(number, account)?;
         let order = &mut self.orders[number];
         if order.status == "processing" {
@@ -471,81 +484,86 @@
 
     fn own_authorization(&mut self, number: Option<usize>, account: usize) -> Result<usize, Message> {
         let number =
-            number.filter(|n| self.authorizations.get(*n).is_some_and(|known| known.account == account));
+            number.filter(|n| self.authorizations.get(*n).is_some_and(|entry| entry.account == account));
         number.ok_or_else(|| self.problem(404, "malformed", "no such authorization"))
     }
 
     fn challenge_body(&self, number: usize, kind: &str) -> Value {
-        let known = &self.authorizations[number];
-        let status = match (known.status, known.asked) {
-            ("pending", Some(asked)) if asked == kind => "processing",
+        let entry = &self.authorizations[number];
+        let status = match (entry.status, entry.answered) {
+            ("pending", Some(answered)) if answered == kind => "processing",
             ("pending", _) => "pending",
             (status, _) => status,
         };
         let url = self.url(&format!("challenge/{number}/{kind}"));
-        let mut body = json!({"type": kind, "url": url, "token": known.token, "status": status});
-        if let Some(problem) = &known.problem {
+        let mut body = json!({"type": kind, "url": url, "token": entry.token, "status": status});
+        if let Some(problem) = &entry.problem {
             body["error"] =
                 json!({"type": "urn:ietf:params:acme:error:incorrectResponse", "detail": problem});
         }
         body
     }
 
-    fn authorization(&mut self, number: Option<usize>, account: usize) -> Answer {
+    fn authorization(&mut self, number: Option<usize>, account: usize) -> HandlerResult {
         let number = self.own_authorization(number, account)?;
-        let known = &self.authorizations[number];
+        let entry = &self.authorizations[number];
         let body = json!({
-            "status": known.status,
-            "identifier": {"type": "dns", "value": known.name},
-            "challenges": KINDS.map(|kind| self.challenge_body(number, kind)),
+            "status": entry.status,
+            "identifier": {"type": "dns", "value": entry.name},
+            "challenges": CHALLENGE_TYPES.map(|kind| self.challenge_body(number, kind)),
         });
         let message = json_message(200, &body);
-        Ok(match self.faults.retry_after.filter(|_| known.asked.is_some()) {
+        Ok(match self.faults.retry_after.filter(|_| entry.answered.is_some()) {
             Some(seconds) => message.with("Retry-After", &seconds.to_string()),
             None => message,
         })
     }
 
-    fn challenge(&mut self, number: Option<usize>, kind: Option<&'static str>, account: usize) -> Answer {
+    fn challenge(
+        &mut self,
+        number: Option<usize>,
+        kind: Option<&'static str>,
+        account: usize,
+    ) -> HandlerResult {
         let number = self.own_authorization(number, account)?;
         let Some(kind) = kind else { return Err(self.problem(404, "malformed", "no such challenge")) };
-        let known = &mut self.authorizations[number];
-        if known.status == "pending" && known.asked.is_none() {
-            known.asked = Some(kind);
+        let entry = &mut self.authorizations[number];
+        if entry.status == "pending" && entry.answered.is_none() {
+            entry.answered = Some(kind);
         }
         Ok(json_message(200, &self.challenge_body(number, kind)))
     }
 
-    /// What is to be looked at now; each is handed out once.
+    /// Returns the validations to perform now; each is returned once.
     pub fn to_validate(&mut self) -> Vec<ToValidate> {
         let mut all = Vec::new();
-        for (number, known) in self.authorizations.iter_mut().enumerate() {
-            let Some(kind) = known.asked.filter(|_| known.status == "pending") else { continue };
-            known.asked = None;
-            // Being looked at.
-            known.status = "processing";
-            let jwk = &self.accounts[known.account].0;
+        for (number, entry) in self.authorizations.iter_mut().enumerate() {
+            let Some(kind) = entry.answered.filter(|_| entry.status == "pending") else { continue };
+            entry.answered = None;
+            // Validation is in progress.
+            entry.status = "processing";
+            let jwk = &self.accounts[entry.account].0;
             all.push(ToValidate {
                 authorization: number,
                 kind: kind.to_owned(),
-                name: known.name.clone(),
-                token: known.token.clone(),
-                expected: format!("{}.{}", known.token, thumbprint(jwk)),
+                name: entry.name.clone(),
+                token: entry.token.clone(),
+                expected: format!("{}.{}", entry.token, thumbprint(jwk)),
             });
         }
         all
     }
 
-    /// What was found, or why nothing was.
+    /// Reports the result of a validation.
     pub fn validated(&mut self, authorization: usize, found: Result<(), String>) {
         let scripted = self.faults.failing_validations > 0;
         self.faults.failing_validations = self.faults.failing_validations.saturating_sub(1);
-        let Some(known) = self.authorizations.get_mut(authorization) else { return };
+        let Some(entry) = self.authorizations.get_mut(authorization) else { return };
         match found {
-            Ok(()) if !scripted => known.status = "valid",
+            Ok(()) if !scripted => entry.status = "valid",
             found => {
-                known.status = "invalid";
-                known.problem = Some(found.err().unwrap_or_else(|| "failed by the script".to_owned()));
+                entry.status = "invalid";
+                entry.problem = Some(found.err().unwrap_or_else(|| "failed by the script".to_owned()));
             }
         }
         for order in self.orders.iter_mut().filter(|order| order.authorizations.contains(&authorization)) {
@@ -559,9 +577,15 @@
         }
     }
 
-    fn finalize(&mut self, now: Seconds, number: Option<usize>, account: usize, payload: &Value) -> Answer {
+    fn finalize(
+        &mut self,
+        now: Seconds,
+        number: Option<usize>,
+        account: usize,
+        payload: &Value,
+    ) -> HandlerResult {
         let number = self.own_order(number, account)?;
-        self.refused(Stage::Finalize)?;
+        self.check_scripted_refusal(Stage::Finalize)?;
         if self.orders[number].status != "ready" {
             return Err(self.problem(403, "orderNotReady", self.orders[number].status));
         }
@@ -603,7 +627,7 @@
         Ok(json_message(200, &self.order_body(number)).with("Location", &url))
     }
 
-    fn download(&mut self, number: Option<usize>, account: usize, other: bool) -> Answer {
+    fn download(&mut self, number: Option<usize>, account: usize, other: bool) -> HandlerResult {
         let own = |number: &usize| {
             self.orders.iter().any(|order| order.certificate == Some(*number) && order.account == account)
         };
@@ -616,7 +640,7 @@
         Ok(if other { message } else { message.with("Link", &format!("<{url}>;rel=\"alternate\"")) })
     }
 
-    fn revoke(&mut self, payload: &Value) -> Answer {
+    fn revoke(&mut self, payload: &Value) -> HandlerResult {
         let der = decode(&payload["certificate"]).unwrap_or_default();
         let is = |issued: &Issued| {
             let (_, pem) = x509_parser::pem::parse_x509_pem(issued.chains[0].as_bytes()).ok()?;
@@ -625,7 +649,7 @@
         match self.issued.iter().position(|issued| is(issued) == Some(true)) {
             None => Err(self.problem(404, "malformed", "not issued here")),
             Some(at) if self.issued[at].revoked => {
-                Err(self.problem(400, "alreadyRevoked", "it was revoked before"))
+                Err(self.problem(400, "alreadyRevoked", "the certificate is already revoked"))
             }
             Some(at) => {
                 self.issued[at].revoked = true;
@@ -634,29 +658,30 @@
         }
     }
 
-    fn key_change(&mut self, account: usize, payload: &Value, url: &str) -> Answer {
+    fn key_change(&mut self, account: usize, payload: &Value, url: &str) -> HandlerResult {
         let Some(inner) = Jws::parse(payload) else {
-            return Err(self.complain(400, "malformed", "the inner request is no JWS"));
+            return Err(self.complain(400, "malformed", "the inner request is not a JWS"));
         };
-        let (jwk, told) = (inner.protected["jwk"].clone(), inner.payload.clone().unwrap_or(Value::Null));
+        let (jwk, inner_payload) =
+            (inner.protected["jwk"].clone(), inner.payload.clone().unwrap_or(Value::Null));
         let kid = self.url(&format!("account/{account}"));
         let fits = inner.verify(&jwk)
             && inner.protected["url"] == url
             && inner.protected["nonce"].is_null()
-            && told["account"] == kid.as_str()
-            && told["oldKey"] == self.accounts[account].0;
+            && inner_payload["account"] == kid.as_str()
+            && inner_payload["oldKey"] == self.accounts[account].0;
         if !fits {
-            return Err(self.complain(400, "malformed", "the inner request does not fit"));
+            return Err(self.complain(400, "malformed", "the inner request does not match the outer one"));
         }
-        if let Some(known) = self.accounts.iter().position(|(known, _)| *known == jwk) {
+        if let Some(existing) = self.accounts.iter().position(|(existing, _)| *existing == jwk) {
             let message = self.problem(409, "malformed", "the key is another account's");
-            return Err(message.with("Location", &self.url(&format!("account/{known}"))));
+            return Err(message.with("Location", &self.url(&format!("account/{existing}"))));
         }
         self.accounts[account].0 = jwk;
         Ok(json_message(200, &json!({"status": "valid"})))
     }
 
-    fn renewal_info(&mut self, id: &str) -> Answer {
+    fn renewal_info(&mut self, id: &str) -> HandlerResult {
         let Some((from, to)) = self.settings.window else { return Err(Message::response(404)) };
         let serial = id.split_once('.').and_then(|(_, serial)| decode(&json!(serial)));
         let found = self.issued.iter().find(|issued| {
@@ -667,7 +692,7 @@
         });
         let Some(issued) = found else { return Err(Message::response(404)) };
         let (start, end) = issued.validity;
-        // A revoked one is to be renewed at once (RFC 9773 section 4.2).
+        // A revoked certificate is to be renewed at once (RFC 9773 section 4.2).
         let at = |share: f64| match issued.revoked {
             true => start + share as i64,
             false => start + ((end - start) as f64 * share) as i64,
--- a/crates/lemoncleat-authority/src/faults.rs
+++ b/crates/lemoncleat-authority/src/faults.rs
@@ -1,6 +1,6 @@
-//! How a stand-in authority fails.
+//! Scripted failures of the test authority.
 
-/// Where a request is refused.
+/// The kind of request that is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// The directory.
@@ -17,14 +17,14 @@
     Challenge,
     /// Finalization.
     Finalize,
-    /// How an order stands.
+    /// Fetching an order's status.
     Order,
     /// The certificate.
     Download,
 }
 
 impl Stage {
-    /// All of them, in the order in which a try meets them.
+    /// All stages, in the order in which a certificate order passes through them.
     pub const ALL: [Stage; 9] = [
         Stage::Directory,
         Stage::Nonce,
@@ -38,38 +38,39 @@
     ];
 }
 
-/// What is wrong with a certificate that is issued.
+/// A defect of an issued certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wrong {
     /// It is for another key.
     Key,
     /// A name is missing.
     Names,
-    /// It is over already.
+    /// It has already expired.
     Expired,
-    /// It begins an hour later.
+    /// Its validity begins an hour later.
     NotYet,
-    /// Its chain goes on with a certificate that did not issue it.
+    /// Its chain continues with a certificate that did not issue it.
     Chain,
 }
 
-/// How an authority fails, beside what a client does wrong.
+/// Scripted failures, in addition to the refusal of invalid requests.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Share of signed requests whose nonce is refused although it is good.
+    /// Fraction of signed requests whose valid nonce is refused.
     pub bad_nonces: f64,
-    /// Refusals to come: at which stage, with which status and type of problem, and how many times.
+    /// Pending refusals: stage, status, problem type and remaining count.
     pub refuse: Vec<(Stage, u16, &'static str, u32)>,
-    /// Validations to come that fail.
+    /// Number of upcoming validations that fail.
     pub failing_validations: u32,
-    /// Certificates to come that are wrong.
+    /// Defects of the next certificates to be issued.
     pub wrong: Vec<Wrong>,
-    /// Most orders within the span in seconds; beyond that it is `rateLimited` with Retry-After.
+    /// Maximum number of orders within a period in seconds; further orders get `rateLimited` with
+    /// Retry-After.
     pub orders_within: Option<(usize, i64)>,
-    /// How many times an order is told to be processing before it is valid.
+    /// Number of times an order is reported as processing before it becomes valid.
     pub processing: u32,
-    /// Retry-After with such answers.
+    /// Retry-After sent with such responses.
     pub retry_after: Option<i64>,
-    /// How far its clock is ahead (seconds); behind where it is negative.
+    /// Seconds by which the authority's clock is ahead; negative if it is behind.
     pub ahead: i64,
 }
--- a/crates/lemoncleat-authority/src/host.rs
+++ b/crates/lemoncleat-authority/src/host.rs
@@ -1,4 +1,5 @@
-//! The stand-in authority on loopback sockets: plain HTTP or HTTPS, and validations that look for real.
+//! Serves the test authority on loopback sockets over plain HTTP or HTTPS, and validates challenges over the
+//! network.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -20,28 +21,28 @@
 
 use crate::authority::{Authority, AuthoritySettings, ToValidate};
 
-/// How long one connection may take.
-const TIME: Duration = Duration::from_secs(5);
+/// Read, write and connect time-out of one connection, and the longest wait for a name's address.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where the names of a rehearsal are found.
+/// Addresses at which a name's challenge responses are found.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Found {
-    /// Where http-01 is looked for.
+    /// Address for http-01.
     pub http: Option<SocketAddr>,
-    /// Where tls-alpn-01 is looked for.
+    /// Address for tls-alpn-01.
     pub tls: Option<SocketAddr>,
 }
 
 struct Shared {
     authority: Mutex<Authority>,
-    places: Mutex<HashMap<String, Found>>,
-    placed: Condvar,
-    away: AtomicBool,
+    addresses: Mutex<HashMap<String, Found>>,
+    address_added: Condvar,
+    unreachable: AtomicBool,
     stop: AtomicBool,
     tls: Option<Arc<ServerConfig>>,
 }
 
-/// An authority that is up.
+/// A running test authority; dropping it stops the listener.
 pub struct Host {
     address: SocketAddr,
     shared: Arc<Shared>,
@@ -57,12 +58,12 @@
 }
 
 impl Host {
-    /// Starts an authority; the base of its URLs is set here. With `secure` it speaks HTTPS under the name
-    /// "authority.lab", with a certificate of its own.
+    /// Starts an authority and sets the base of its URLs. With `secure` it serves HTTPS under the name
+    /// "localhost", with a certificate issued by itself.
     ///
     /// # Errors
     ///
-    /// When no port is to be had or its keys can't be made.
+    /// When no port can be bound or its keys can't be generated.
     pub fn start(settings: AuthoritySettings, secure: bool) -> Result<Host, String> {
         let listener = TcpListener::bind("127.0.0.1:0").map_err(|error| error.to_string())?;
         let address = listener.local_addr().map_err(|error| error.to_string())?;
@@ -88,38 +89,38 @@
         };
         let shared = Arc::new(Shared {
             authority: Mutex::new(authority),
-            places: Mutex::default(),
-            placed: Condvar::new(),
-            away: AtomicBool::new(false),
+            addresses: Mutex::default(),
+            address_added: Condvar::new(),
+            unreachable: AtomicBool::new(false),
             stop: AtomicBool::new(false),
             tls,
         });
-        let inner = shared.clone();
-        let thread = std::thread::spawn(move || accept(&listener, &inner));
+        let listener_shared = shared.clone();
+        let thread = std::thread::spawn(move || accept(&listener, &listener_shared));
         Ok(Host { address, shared, thread: Some(thread) })
     }
 
-    /// The authority, to look at and to change.
+    /// Locks the authority for inspection or changes.
     pub fn authority(&self) -> MutexGuard<'_, Authority> {
         lock(&self.shared.authority)
     }
 
-    /// Where a name is found from now on.
+    /// Sets the addresses at which a name's challenge responses are found.
     pub fn place(&self, name: &str, found: Found) {
-        lock(&self.shared.places).insert(name.to_owned(), found);
-        self.shared.placed.notify_all();
+        lock(&self.shared.addresses).insert(name.to_owned(), found);
+        self.shared.address_added.notify_all();
     }
 
-    /// Whether it closes every connection without a word, as a dead machine's front would.
-    pub fn set_away(&self, away: bool) {
-        self.shared.away.store(away, Ordering::SeqCst);
+    /// Sets whether it closes every connection without a response, like a proxy in front of a failed server.
+    pub fn set_away(&self, unreachable: bool) {
+        self.shared.unreachable.store(unreachable, Ordering::SeqCst);
     }
 }
 
 impl Drop for Host {
     fn drop(&mut self) {
         self.shared.stop.store(true, Ordering::SeqCst);
-        // Wakes the listener.
+        // Wakes the listener so that it sees `stop`.
         let _ = TcpStream::connect(self.address);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -132,27 +133,27 @@
         if shared.stop.load(Ordering::SeqCst) {
             return;
         }
-        if shared.away.load(Ordering::SeqCst) {
+        if shared.unreachable.load(Ordering::SeqCst) {
             continue;
         }
         let shared = shared.clone();
-        // Whoever breaks off gets nothing more.
+        // Connection errors are ignored.
         std::thread::spawn(move || drop(serve(stream, &shared)));
     }
 }
 
-fn limit(stream: &TcpStream) -> io::Result<()> {
-    stream.set_read_timeout(Some(TIME))?;
-    stream.set_write_timeout(Some(TIME))
+fn set_timeouts(stream: &TcpStream) -> io::Result<()> {
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))
 }
 
 fn serve(stream: TcpStream, shared: &Arc<Shared>) -> io::Result<()> {
-    limit(&stream)?;
+    set_timeouts(&stream)?;
     match &shared.tls {
-        None => converse(stream, shared),
+        None => handle_connection(stream, shared),
         Some(config) => {
             let connection = ServerConnection::new(config.clone()).map_err(io::Error::other)?;
-            converse(StreamOwned::new(connection, stream), shared)
+            handle_connection(StreamOwned::new(connection, stream), shared)
         }
     }
 }
@@ -173,23 +174,24 @@
     }
 }
 
-fn converse(mut stream: impl Read + Write, shared: &Arc<Shared>) -> io::Result<()> {
+fn handle_connection(mut stream: impl Read + Write, shared: &Arc<Shared>) -> io::Result<()> {
     let request = read_message(&mut stream, Side::Server)?;
-    let (answer, looks) = {
+    let (answer, validations) = {
         let mut authority = lock(&shared.authority);
         (authority.handle(now(), &request), authority.to_validate())
     };
-    for look in looks {
+    for validation in validations {
         let shared = shared.clone();
         std::thread::spawn(move || {
-            // A name that is not placed yet is waited for: whoever starts a node learns its ports late.
-            let unknown = |places: &mut HashMap<String, Found>| !places.contains_key(&look.name);
-            let places = shared.placed.wait_timeout_while(lock(&shared.places), TIME, unknown);
-            let places = places.unwrap_or_else(PoisonError::into_inner).0;
-            let found = places.get(&look.name).copied().unwrap_or_default();
-            drop(places);
-            let found = validate(&look, found);
-            lock(&shared.authority).validated(look.authorization, found);
+            // Wait for a name without an address: a node's ports are known only after it has started.
+            let unknown = |addresses: &mut HashMap<String, Found>| !addresses.contains_key(&validation.name);
+            let addresses =
+                shared.address_added.wait_timeout_while(lock(&shared.addresses), IO_TIMEOUT, unknown);
+            let addresses = addresses.unwrap_or_else(PoisonError::into_inner).0;
+            let found = addresses.get(&validation.name).copied().unwrap_or_default();
+            drop(addresses);
+            let found = validate(&validation, found);
+            lock(&shared.authority).validated(validation.authorization, found);
         });
     }
     let head = request.path().is_some_and(|(method, _)| method == "HEAD");
@@ -202,45 +204,46 @@
     stream.flush()
 }
 
-fn validate(look: &ToValidate, found: Found) -> Result<(), String> {
-    let (kind, name) = (look.kind.as_str(), look.name.as_str());
+fn validate(validation: &ToValidate, found: Found) -> Result<(), String> {
+    let (kind, name) = (validation.kind.as_str(), validation.name.as_str());
     let place = if kind == "http-01" { found.http } else { found.tls };
     let place = place.ok_or_else(|| format!("{name} is not found"))?;
-    let found = if kind == "http-01" { fetch(look, place) } else { handshake(look, place) };
+    let found = if kind == "http-01" { fetch(validation, place) } else { handshake(validation, place) };
     found.map_err(|error| format!("{name}: {error}"))
 }
 
-fn fetch(look: &ToValidate, place: SocketAddr) -> io::Result<()> {
-    let mut stream = TcpStream::connect_timeout(&place, TIME)?;
-    limit(&stream)?;
-    let target = format!("/.well-known/acme-challenge/{}", look.token);
-    let request = Message::request("GET", &look.name, &target).with("Connection", "close");
+fn fetch(validation: &ToValidate, place: SocketAddr) -> io::Result<()> {
+    let mut stream = TcpStream::connect_timeout(&place, IO_TIMEOUT)?;
+    set_timeouts(&stream)?;
+    let target = format!("/.well-known/acme-challenge/{}", validation.token);
+    let request = Message::request("GET", &validation.name, &target).with("Connection", "close");
     stream.write_all(&request.to_bytes())?;
     let answer = read_message(&mut stream, Side::Client { head: false })?;
-    match answer.status() == 200 && answer.body.trim_ascii_end() == look.expected.as_bytes() {
+    match answer.status() == 200 && answer.body.trim_ascii_end() == validation.expected.as_bytes() {
         true => Ok(()),
         false => Err(io::Error::other(format!("status {}, or another content", answer.status()))),
     }
 }
 
-/// RFC 8737 section 3: the name alone, and the digest in a critical extension.
-fn handshake(look: &ToValidate, place: SocketAddr) -> io::Result<()> {
+/// Checks a tls-alpn-01 certificate (RFC 8737 section 3): it has only this name, and the digest in a critical
+/// extension.
+fn handshake(validation: &ToValidate, place: SocketAddr) -> io::Result<()> {
     let mut config = ClientConfig::builder_with_provider(Arc::new(provider::default_provider()))
         .with_safe_default_protocol_versions()
         .map_err(io::Error::other)?
         .dangerous()
-        .with_custom_certificate_verifier(Arc::new(Anybody))
+        .with_custom_certificate_verifier(Arc::new(AcceptAnyCertificate))
         .with_no_client_auth();
     config.alpn_protocols = vec![b"acme-tls/1".to_vec()];
-    let name = ServerName::try_from(look.name.clone()).map_err(io::Error::other)?;
+    let name = ServerName::try_from(validation.name.clone()).map_err(io::Error::other)?;
     let mut connection = ClientConnection::new(Arc::new(config), name).map_err(io::Error::other)?;
-    let mut stream = TcpStream::connect_timeout(&place, TIME)?;
-    limit(&stream)?;
+    let mut stream = TcpStream::connect_timeout(&place, IO_TIMEOUT)?;
+    set_timeouts(&stream)?;
     while connection.is_handshaking() {
         connection.complete_io(&mut stream)?;
     }
     if connection.alpn_protocol() != Some(b"acme-tls/1") {
-        return Err(io::Error::other("the protocol was not taken up"));
+        return Err(io::Error::other("acme-tls/1 was not negotiated"));
     }
     let certificate = connection.peer_certificates().and_then(<[_]>::first);
     let certificate = certificate.ok_or_else(|| io::Error::other("no certificate"))?;
@@ -249,24 +252,24 @@
     let names: Vec<String> = names
         .map(|san| san.value.general_names.iter().map(ToString::to_string).collect())
         .unwrap_or_default();
-    let hash = digest::digest(&digest::SHA256, look.expected.as_bytes());
+    let hash = digest::digest(&digest::SHA256, validation.expected.as_bytes());
     let expected = [&[4, 32], hash.as_ref()].concat();
     let proven = certificate.extensions().iter().any(|extension| {
         extension.oid.to_id_string() == "1.3.6.1.5.5.7.1.31"
             && extension.critical
             && extension.value == expected.as_slice()
     });
-    match proven && names == [format!("DNSName({})", look.name)] {
+    match proven && names == [format!("DNSName({})", validation.name)] {
         true => Ok(()),
         false => Err(io::Error::other(format!("a certificate for {names:?} that proves nothing"))),
     }
 }
 
-/// Takes any certificate: what it proves stands in it.
+/// Accepts any certificate; the proof is checked in its extension after the handshake.
 #[derive(Debug)]
-struct Anybody;
+struct AcceptAnyCertificate;
 
-impl ServerCertVerifier for Anybody {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -301,8 +304,8 @@
     }
 }
 
-/// The usual check refuses a certificate whose critical extension it does not know, which is this one's purpose:
-/// whether the key is held is checked with ring.
+/// Verifies the handshake signature with ring. The default verifier rejects certificates with an unknown
+/// critical extension, and a tls-alpn-01 certificate always has one.
 fn verify(
     message: &[u8],
     certificate: &CertificateDer<'_>,
--- a/crates/lemoncleat-authority/src/issuer.rs
+++ b/crates/lemoncleat-authority/src/issuer.rs
@@ -1,4 +1,4 @@
-//! The certificates that a stand-in authority issues: two roots, one intermediate that both vouch for.
+//! Certificate issuance for the test authority: two roots and one intermediate that is signed by both.
 
 use rcgen::{
     BasicConstraints, CertificateParams, CertificateSigningRequestParams, DistinguishedName, DnType, IsCa,
@@ -8,17 +8,17 @@
 
 use crate::faults::Wrong;
 
-/// How far the authority's own certificates reach beyond what they issue.
-const DECADE: i64 = 10 * 365 * 86_400;
+/// Validity of the authority's own certificates before and after its start: ten years each.
+const CA_VALIDITY_S: i64 = 10 * 365 * 86_400;
 
 pub(crate) struct IssuerKeys {
     pub roots: [String; 2],
     intermediate: Issuer<'static, KeyPair>,
-    /// The intermediate's certificate by either root.
+    /// The intermediate's certificates, one signed by each root.
     chains: [String; 2],
 }
 
-fn moment(at: i64) -> OffsetDateTime {
+fn timestamp(at: i64) -> OffsetDateTime {
     OffsetDateTime::from_unix_timestamp(at).unwrap_or(OffsetDateTime::UNIX_EPOCH)
 }
 
@@ -29,7 +29,7 @@
     params.distinguished_name = dn;
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign, KeyUsagePurpose::CrlSign];
-    (params.not_before, params.not_after) = (moment(now - DECADE), moment(now + DECADE));
+    (params.not_before, params.not_after) = (timestamp(now - CA_VALIDITY_S), timestamp(now + CA_VALIDITY_S));
     params
 }
 
@@ -55,7 +55,7 @@
         Ok(IssuerKeys { roots: pair(roots), chains: pair(chains), intermediate: Issuer::new(params, key) })
     }
 
-    /// A certificate for a request, with its chain by the first root and by the other.
+    /// Issues a certificate for a CSR and returns its chains to the first and to the other root.
     pub fn issue(
         &self,
         mut csr: CertificateSigningRequestParams,
@@ -72,7 +72,7 @@
             _ => {}
         }
         csr.params.serial_number = Some(SerialNumber::from_slice(&serial.to_be_bytes()));
-        (csr.params.not_before, csr.params.not_after) = (moment(from), moment(until));
+        (csr.params.not_before, csr.params.not_after) = (timestamp(from), timestamp(until));
         csr.params.use_authority_key_identifier_extension = true;
         let leaf = match wrong {
             Some(Wrong::Key) => csr.params.signed_by(&KeyPair::generate()?, &self.intermediate)?,
--- a/crates/lemoncleat-authority/src/jws.rs
+++ b/crates/lemoncleat-authority/src/jws.rs
@@ -1,4 +1,5 @@
-//! Requests as they must be signed (RFC 8555 section 6.2), checked with ring alone: the client's own code is not used.
+//! Verification of signed requests (RFC 8555 section 6.2). Uses ring only and none of the client's code, so
+//! that an error there can't hide itself.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -26,7 +27,7 @@
     pub fn parse(jws: &Value) -> Option<Jws> {
         let members = jws.as_object()?;
         if members.len() != 3 {
-            return None; // No unprotected header (section 6.2).
+            return None; // An unprotected header is not allowed (section 6.2).
         }
         let payload = decode(&jws["payload"])?;
         Some(Jws {
@@ -57,7 +58,7 @@
     }
 }
 
-/// RFC 7638, written out for the two kinds of key.
+/// Returns the RFC 7638 thumbprint, with the canonical form written out for the two key types.
 pub(crate) fn thumbprint(jwk: &Value) -> String {
     let text = |name: &str| jwk[name].as_str().unwrap_or_default().to_owned();
     let canonical = match jwk["kty"].as_str() {
