--- a/crates/lemoncleat-acme/src/certificate.rs
+++ b/crates/lemoncleat-acme/src/certificate.rs
@@ -91,7 +91,7 @@
     /// # Errors
     ///
     /// Describes what differs.
-    pub fn fits(&self, names: &[String], public_key: &[u8], now: Seconds) -> Result<(), String> {
+    pub fn matches_order(&self, names: &[String], public_key: &[u8], now: Seconds) -> Result<(), String> {
         if self.public_key != public_key {
             return Err("the certificate is for another key than the one ordered with".to_owned());
         }
--- a/crates/lemoncleat-acme/src/errand.rs
+++ b/crates/lemoncleat-acme/src/errand.rs
@@ -9,7 +9,7 @@
 
 use crate::jose::{encode, AccountKey};
 use crate::planner::Seconds;
-use crate::session::{Absorbed, Account, AcmeError, HttpRequest, HttpResponse, Session, Step};
+use crate::session::{Account, AcmeError, HttpRequest, HttpResponse, ResponseKind, Session, Step};
 
 /// The operation.
 #[derive(Clone, Debug)]
@@ -112,9 +112,9 @@
     ///
     /// When the authority refused the request.
     pub fn answered(&mut self, response: &HttpResponse) -> Result<ErrandStep, AcmeError> {
-        match self.session.absorb(response, self.step()) {
-            Ok(Absorbed::Session) => return self.go_on(),
-            Ok(Absorbed::ForOwner) => {}
+        match self.session.process_response(response, self.step()) {
+            Ok(ResponseKind::Session) => return self.go_on(),
+            Ok(ResponseKind::ForOwner) => {}
             // Already revoked, for example by an earlier attempt whose response was lost.
             Err(error) if error.is("alreadyRevoked") => return Ok(self.done()),
             Err(error) => return Err(error),
@@ -123,12 +123,12 @@
             return Ok(self.done());
         }
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
-        let moment = |name: &str| {
+        let timestamp = |name: &str| {
             let text = body["suggestedWindow"][name].as_str()?;
             OffsetDateTime::parse(text, &Rfc3339).ok().map(OffsetDateTime::unix_timestamp)
         };
         // RFC 9773 section 4.2: a window whose end is not after its start is treated as absent.
-        let window = moment("start").zip(moment("end")).filter(|(start, end)| start < end);
+        let window = timestamp("start").zip(timestamp("end")).filter(|(start, end)| start < end);
         Ok(ErrandStep::Done(ErrandResult::Window(window, response.retry_after)))
     }
 }
--- a/crates/lemoncleat-acme/src/order.rs
+++ b/crates/lemoncleat-acme/src/order.rs
@@ -4,7 +4,7 @@
 use serde_json::{json, Value};
 
 use crate::jose::encode;
-use crate::session::{problem, Absorbed, Account, AcmeError, HttpRequest, HttpResponse, Session, Step};
+use crate::session::{problem, Account, AcmeError, HttpRequest, HttpResponse, ResponseKind, Session, Step};
 
 /// Maximum number of alternate chains fetched for a certificate.
 const MAX_ALTERNATE_CHAINS: usize = 4;
@@ -193,9 +193,9 @@
     ///
     /// When the authority refused the request, or its response is not valid in this step.
     pub fn answered(&mut self, response: &HttpResponse) -> Result<Progress, AcmeError> {
-        match self.session.absorb(response, self.step) {
-            Ok(Absorbed::Session) => return self.go_on(),
-            Ok(Absorbed::ForOwner) => {}
+        match self.session.process_response(response, self.step) {
+            Ok(ResponseKind::Session) => return self.go_on(),
+            Ok(ResponseKind::ForOwner) => {}
             Err(error) => return self.handle_refusal(error, response.status),
         }
         let body = || serde_json::from_slice::<Value>(&response.body).unwrap_or(Value::Null);
@@ -220,7 +220,10 @@
                 }
                 other => {
                     let detail = problem(&body()["challenges"]).1;
-                    Err(self.dead(format!("authorization {}: {detail}", other.unwrap_or("without status"))))
+                    Err(self.fatal_error(format!(
+                        "authorization {}: {detail}",
+                        other.unwrap_or("without status")
+                    )))
                 }
             },
             Step::Download => {
@@ -240,8 +243,8 @@
         }
     }
 
-    fn dead(&mut self, detail: String) -> AcmeError {
-        let error = AcmeError { dead: true, ..self.error(detail) };
+    fn fatal_error(&mut self, detail: String) -> AcmeError {
+        let error = AcmeError { fatal: true, ..self.error(detail) };
         self.order = None;
         error
     }
@@ -261,7 +264,7 @@
             self.step = Step::Issuance;
             return self.go_on();
         }
-        if error.dead {
+        if error.fatal {
             self.order = None;
         }
         Err(error)
@@ -295,7 +298,7 @@
             }
             other => {
                 let (_, detail) = problem(&order["error"]);
-                Err(self.dead(format!("the order is {}: {detail}", other.unwrap_or("without status"))))
+                Err(self.fatal_error(format!("the order is {}: {detail}", other.unwrap_or("without status"))))
             }
         }
     }
@@ -316,12 +319,14 @@
         match authorization["status"].as_str() {
             Some("valid") => return self.next_authorization(),
             Some("pending") => {}
-            other => return Err(self.dead(format!("authorization {}", other.unwrap_or("without status")))),
+            other => {
+                return Err(self.fatal_error(format!("authorization {}", other.unwrap_or("without status"))))
+            }
         }
         let challenges = authorization["challenges"].as_array().cloned().unwrap_or_default();
         let wanted = self.kind.name();
         let Some(challenge) = challenges.iter().find(|challenge| challenge["type"] == wanted) else {
-            return Err(self.dead(format!("the authority offers no {wanted} challenge")));
+            return Err(self.fatal_error(format!("the authority offers no {wanted} challenge")));
         };
         let (url, token) = (challenge["url"].as_str(), challenge["token"].as_str());
         let (Some(url), Some(token)) = (url, token) else {
--- a/crates/lemoncleat-acme/src/renewer.rs
+++ b/crates/lemoncleat-acme/src/renewer.rs
@@ -436,7 +436,7 @@
             self.account.url = Some(account.clone());
         }
         // The state from the last response must be on disk before the next request is sent.
-        if self.stored.as_ref() != Some(&stored) && !matches!(next, Err(AcmeError { dead: true, .. })) {
+        if self.stored.as_ref() != Some(&stored) && !matches!(next, Err(AcmeError { fatal: true, .. })) {
             out.push(RenewerOutput::StoreOrder(stored.clone()));
             self.stored = Some(stored);
         }
@@ -455,7 +455,7 @@
                     }
                     // Repeating the order would return the same certificate.
                     Err(why) => {
-                        self.failed(now, AcmeError { dead: true, ..local_error(Step::Done, why) }, out)
+                        self.failed(now, AcmeError { fatal: true, ..local_error(Step::Done, why) }, out)
                     }
                 }
             }
@@ -469,7 +469,7 @@
         let mut wrong = String::new();
         for pem in chains {
             let fits = Chain::read(&pem).and_then(|chain| {
-                chain.fits(&self.settings.names, public_key, now)?;
+                chain.matches_order(&self.settings.names, public_key, now)?;
                 Ok(chain)
             });
             match fits {
@@ -539,7 +539,7 @@
         self.work = Work::Idle;
         self.renew_requested = false;
         out.push(RenewerOutput::StoreTried(self.tried.clone()));
-        if error.dead {
+        if error.fatal {
             self.stored = None;
             out.push(RenewerOutput::DropOrder);
         }
@@ -578,5 +578,5 @@
 }
 
 fn local_error(step: Step, detail: String) -> AcmeError {
-    AcmeError { step, kind: None, detail, retry_after: None, dead: false }
+    AcmeError { step, kind: None, detail, retry_after: None, fatal: false }
 }
--- a/crates/lemoncleat-acme/src/session.rs
+++ b/crates/lemoncleat-acme/src/session.rs
@@ -92,7 +92,7 @@
     /// Seconds after which the request may be repeated.
     pub retry_after: Option<i64>,
     /// Whether the order has failed for good: the next attempt starts a new one.
-    pub dead: bool,
+    pub fatal: bool,
 }
 
 impl AcmeError {
@@ -142,7 +142,7 @@
 
 /// Who handles a response.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) enum Absorbed {
+pub(crate) enum ResponseKind {
     /// The session handled it, or the request must be repeated: ask for the next request.
     Session,
     /// The owner of the session (order or operation) must handle it.
@@ -196,7 +196,7 @@
 
     pub fn error(&self, step: Step, detail: impl Into<String>) -> AcmeError {
         let step = self.step().unwrap_or(step);
-        AcmeError { step, kind: None, detail: detail.into(), retry_after: None, dead: false }
+        AcmeError { step, kind: None, detail: detail.into(), retry_after: None, fatal: false }
     }
 
     /// Returns a URL of the directory.
@@ -264,7 +264,11 @@
     }
 
     /// Processes a response; returns `ForOwner` if the session's owner must handle it.
-    pub fn absorb(&mut self, response: &HttpResponse, step: Step) -> Result<Absorbed, AcmeError> {
+    pub fn process_response(
+        &mut self,
+        response: &HttpResponse,
+        step: Step,
+    ) -> Result<ResponseKind, AcmeError> {
         if let Some(nonce) = &response.nonce {
             self.nonce = Some(nonce.clone());
         }
@@ -289,13 +293,13 @@
             }
             PendingRequest::ForOwner => {
                 self.bad_nonce_retries = 0;
-                return Ok(Absorbed::ForOwner);
+                return Ok(ResponseKind::ForOwner);
             }
         }
-        Ok(Absorbed::Session)
+        Ok(ResponseKind::Session)
     }
 
-    fn handle_refusal(&mut self, response: &HttpResponse, step: Step) -> Result<Absorbed, AcmeError> {
+    fn handle_refusal(&mut self, response: &HttpResponse, step: Step) -> Result<ResponseKind, AcmeError> {
         let body: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
         let (kind, detail) = problem(&body);
         let mut error = self.error(step, format!("{} {detail}", response.status));
@@ -303,7 +307,7 @@
         if error.is("badNonce") && self.bad_nonce_retries < MAX_BAD_NONCE_RETRIES {
             // Section 6.5: repeat the request with the nonce that came with the refusal.
             self.bad_nonce_retries += 1;
-            return Ok(Absorbed::Session);
+            return Ok(ResponseKind::Session);
         }
         if error.is("accountDoesNotExist")
             && self.pending == PendingRequest::ForOwner
@@ -311,10 +315,10 @@
         {
             self.account.url = None;
             self.account_lost = true;
-            return Ok(Absorbed::Session);
+            return Ok(ResponseKind::Session);
         }
         let retryable = error.is("rateLimited") || error.is("badNonce") || response.status >= 500;
-        error.dead = self.pending == PendingRequest::ForOwner && !retryable;
+        error.fatal = self.pending == PendingRequest::ForOwner && !retryable;
         Err(error)
     }
 }
--- a/crates/lemoncleat-acme/tests/errands.rs
+++ b/crates/lemoncleat-acme/tests/errands.rs
@@ -39,9 +39,9 @@
     assert!(errand(&mut authority, &account, ErrandKind::Revoke(leaf.clone(), 1)).is_ok());
     assert!(authority.issued()[0].revoked);
     assert!(errand(&mut authority, &account, ErrandKind::Revoke(leaf, 1)).is_ok(), "revoking again succeeds");
-    let told =
+    let message =
         errand(&mut authority, &account, ErrandKind::Revoke(vec![1, 2, 3], 1)).expect_err("not issued");
-    assert!(told.contains("not issued here"), "{told}");
+    assert!(message.contains("not issued here"), "{message}");
 }
 
 #[test]
@@ -56,8 +56,8 @@
     assert!(url.ends_with("/account/0"));
     let rolled = Account { key: new, ..account.clone() };
     assert_eq!(errand(&mut authority, &rolled, ErrandKind::Find), Ok(ErrandResult::Done(url)));
-    let told = errand(&mut authority, &account, ErrandKind::Find).expect_err("the old key");
-    assert!(told.contains("no account has this key"), "{told}");
+    let message = errand(&mut authority, &account, ErrandKind::Find).expect_err("the old key");
+    assert!(message.contains("no account has this key"), "{message}");
     assert_eq!(authority.complaints(), [""; 0]);
 }
 
@@ -70,8 +70,8 @@
     let mut storage = Storage::default();
     let mut node = Node::start(0, settings(2), &Account { key: other.clone(), ..account.clone() }, &storage);
     node.second(START, &mut storage, &mut authority);
-    let told = errand(&mut authority, &account, ErrandKind::RollOver(other)).expect_err("refused");
-    assert!(told.contains("another account's"), "{told}");
+    let message = errand(&mut authority, &account, ErrandKind::RollOver(other)).expect_err("refused");
+    assert!(message.contains("another account's"), "{message}");
     assert!(errand(&mut authority, &account, ErrandKind::Find).is_ok());
 }
 
--- a/crates/lemoncleat-acme/tests/renewer.rs
+++ b/crates/lemoncleat-acme/tests/renewer.rs
@@ -78,9 +78,12 @@
             run(&mut node, &mut storage, &mut authority, START, START + 120);
             assert_eq!(storage.certificates.len(), 1, "{stage:?} {kind}");
             let failures = node.notices.iter().filter(|(_, n)| matches!(n, RenewerNotice::TryFailed { .. }));
-            let told: Vec<String> = failures.map(|(_, notice)| format!("{notice:?}")).collect();
-            assert!(told.iter().all(|text| text.contains("refused by the script")), "{stage:?}: {told:?}");
-            assert!(!told.is_empty(), "{stage:?} {kind}: the failure is reported");
+            let messages: Vec<String> = failures.map(|(_, notice)| format!("{notice:?}")).collect();
+            assert!(
+                messages.iter().all(|text| text.contains("refused by the script")),
+                "{stage:?}: {messages:?}"
+            );
+            assert!(!messages.is_empty(), "{stage:?} {kind}: the failure is reported");
             let reached = if stage as usize > Stage::NewOrder as usize { 3 } else { 1 };
             let most = if status == 403 { reached } else { 1 };
             assert!(
@@ -159,7 +162,7 @@
 
 #[test]
 fn wrong_certificate_is_rejected_and_old_one_kept() {
-    for (wrong, told) in [
+    for (wrong, expected_text) in [
         (Wrong::Key, "another key"),
         (Wrong::Names, "lacks the names"),
         (Wrong::Expired, "the certificate expired"),
@@ -172,7 +175,7 @@
         let seconds_without = run(&mut node, &mut storage, &mut authority, START + 10, START + 600);
         assert_eq!(seconds_without, 0, "{wrong:?}");
         assert!(
-            node.notices.iter().any(|(_, n)| format!("{n:?}").contains(told)),
+            node.notices.iter().any(|(_, n)| format!("{n:?}").contains(expected_text)),
             "{wrong:?}: {:?}",
             node.notices
         );
