--- a/crates/lemoncleat-certificates/src/keeper.rs
+++ b/crates/lemoncleat-certificates/src/keeper.rs
@@ -239,7 +239,7 @@
             (ChallengeKind::Http01, None) => return Err("http-01 needs an address to serve on".to_owned()),
             (ChallengeKind::TlsAlpn01, _) => None,
         };
-        let found = storage.stock().map_err(|error| error.to_string())?;
+        let found = storage.read_state().map_err(|error| error.to_string())?;
         for complaint in &found.complaints {
             sink(KeeperEvent::Complaint(complaint.clone()));
         }
@@ -314,15 +314,15 @@
         self.reported_complaints = complaints;
     }
 
-    fn stock(&mut self) -> Result<lemoncleat_acme::Snapshot, crate::StorageError> {
-        let stocked = self.storage.stock()?;
-        self.complain(stocked.complaints);
-        Ok(stocked.snapshot)
+    fn read_state(&mut self) -> Result<lemoncleat_acme::Snapshot, crate::StorageError> {
+        let state = self.storage.read_state()?;
+        self.complain(state.complaints);
+        Ok(state.snapshot)
     }
 
     async fn execute(&mut self, output: RenewerOutput) {
         match output {
-            RenewerOutput::Look => match self.stock() {
+            RenewerOutput::Look => match self.read_state() {
                 Ok(found) => self.input(RenewerInput::Looked(found)),
                 Err(error) => self.complain(vec![error.to_string()]),
             },
@@ -334,7 +334,7 @@
                         Ok(key) => self.renewer.rolled_over(Arc::new(key)),
                         Err(error) => return self.failed(error),
                     }
-                    match self.stock() {
+                    match self.read_state() {
                         Ok(found) => self.input(RenewerInput::Locked(found)),
                         Err(error) => self.failed(error),
                     }
--- a/crates/lemoncleat-certificates/src/lib.rs
+++ b/crates/lemoncleat-certificates/src/lib.rs
@@ -11,7 +11,7 @@
 pub use fetch::Fetcher;
 pub use keeper::{External, Keeper, KeeperEvent, KeeperSettings};
 pub use proof::{tls_alpn_pem, Responder};
-pub use storage::{Lock, Stocked, Storage, StorageError};
+pub use storage::{Lock, Storage, StorageError, StorageState};
 pub use tool::{revoke, roll_key, status, Status};
 
 pub use lemoncleat_acme::planner::Policy;
--- a/crates/lemoncleat-certificates/src/storage.rs
+++ b/crates/lemoncleat-certificates/src/storage.rs
@@ -62,7 +62,7 @@
 
 /// The state read from storage, with complaints about unusable files; those files are left in place.
 #[derive(Debug, Default)]
-pub struct Stocked {
+pub struct StorageState {
     /// The usable state.
     pub snapshot: Snapshot,
     /// One line for each unusable file.
@@ -303,7 +303,7 @@
     /// # Errors
     ///
     /// When the directory can't be read.
-    pub fn stock(&self) -> Result<Stocked, StorageError> {
+    pub fn read_state(&self) -> Result<StorageState, StorageError> {
         let mut complaints = Vec::new();
         let mut certificates = Vec::new();
         for name in self.files()? {
@@ -327,7 +327,7 @@
                 false
             }
         });
-        Ok(Stocked { snapshot: Snapshot { certificates, tried, order }, complaints })
+        Ok(StorageState { snapshot: Snapshot { certificates, tried, order }, complaints })
     }
 
     /// Parses a stored certificate; returns `None` if it does not cover the configured names.
--- a/crates/lemoncleat-certificates/src/tool.rs
+++ b/crates/lemoncleat-certificates/src/tool.rs
@@ -36,15 +36,15 @@
 /// When it can't be read.
 pub fn status(settings: &KeeperSettings) -> Result<Status, String> {
     let storage = open(settings)?;
-    let stocked = storage.stock().map_err(|error| error.to_string())?;
-    let mut certificates = stocked.snapshot.certificates;
+    let state = storage.read_state().map_err(|error| error.to_string())?;
+    let mut certificates = state.snapshot.certificates;
     certificates.sort_by_key(|held| -held.chain.validity.until);
     Ok(Status {
         certificates,
-        tried: stocked.snapshot.tried,
-        order: stocked.snapshot.order,
+        tried: state.snapshot.tried,
+        order: state.snapshot.order,
         account: storage.account_url(&settings.directory),
-        complaints: stocked.complaints,
+        complaints: state.complaints,
     })
 }
 
@@ -90,8 +90,8 @@
 /// When it is not stored or the authority refuses.
 pub fn revoke(settings: &KeeperSettings, id: &str, reason: u32) -> Result<(), String> {
     let storage = open(settings)?;
-    let stocked = storage.stock().map_err(|error| error.to_string())?;
-    let held = stocked.snapshot.certificates.into_iter().find(|held| held.id == id);
+    let state = storage.read_state().map_err(|error| error.to_string())?;
+    let held = state.snapshot.certificates.into_iter().find(|held| held.id == id);
     let held = held.ok_or_else(|| format!("no certificate {id:?} is stored"))?;
     let account = settings.account(&storage)?;
     let mut work = Errand::new(account, ErrandKind::Revoke(held.chain.leaf, reason));
--- a/crates/lemoncleat-certificates/tests/storage.rs
+++ b/crates/lemoncleat-certificates/tests/storage.rs
@@ -63,11 +63,11 @@
     assert_eq!(again.account_key(KeyKind::Es256).expect("the key").thumbprint(), key.thumbprint());
     assert_eq!(again.account_url("http://a/directory").as_deref(), Some("http://a/account/1"));
     assert_eq!(again.account_url("http://other"), None, "an account URL belongs to one authority");
-    let found = again.stock().expect("it is read");
+    let found = again.read_state().expect("it is read");
     assert_eq!((found.snapshot.order, found.snapshot.tried), (Some(order(1)), tried));
     assert_eq!(again.prepare(false).expect("the same key").public_key, prepared.public_key);
     let held = again.put_certificate(&issue_certificate(&prepared.csr)).expect("stored");
-    let found = again.stock().expect("it is read");
+    let found = again.read_state().expect("it is read");
     assert_eq!((found.snapshot.certificates, found.snapshot.order), (vec![held.clone()], None));
     let text = again.certificate_text(&held.id).expect("its text");
     assert!(text.contains("PRIVATE KEY") && text.contains("BEGIN CERTIFICATE"));
@@ -78,7 +78,7 @@
     }
     assert_eq!(fs::metadata(&dir.0).expect("known").permissions().mode() & 0o077, 0);
     again.drop_certificate(&held.id).expect("removed");
-    assert!(again.stock().expect("it is read").snapshot.certificates.is_empty());
+    assert!(again.read_state().expect("it is read").snapshot.certificates.is_empty());
 }
 
 /// Covers every state that a crash during a write can leave: the old file, and a temporary file of any
@@ -97,7 +97,7 @@
         // As left by another process that was killed while writing.
         let temporary = dir.0.join("order.json.1.0.tmp");
         fs::write(&temporary, &new[..length]).expect("written");
-        let found = open(&dir).stock().expect("it is read");
+        let found = open(&dir).read_state().expect("it is read");
         assert_eq!(found.snapshot.order, Some(order(1)), "cut after {length} bytes");
         assert!(found.complaints.is_empty());
         let lock = storage.lock().expect("it can be taken");
@@ -109,7 +109,7 @@
     // Crash between the steps of creating a key: an order without its key is ignored.
     storage.put_order(&order(3)).expect("stored");
     fs::remove_file(dir.0.join("order.key")).expect("removed");
-    assert_eq!(storage.stock().expect("it is read").snapshot.order, None);
+    assert_eq!(storage.read_state().expect("it is read").snapshot.order, None);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let whole = fs::read(&path).expect("it is there");
     for length in [0, 10, whole.len() / 2, whole.len() - 30] {
         fs::write(&path, &whole[..length]).expect("cut");
-        let found = storage.stock().expect("it is read");
+        let found = storage.read_state().expect("it is read");
         let left: Vec<&str> = found.snapshot.certificates.iter().map(|held| &*held.id).collect();
         assert_eq!(left, [&*ids[1]], "cut after {length}");
         assert_eq!(found.complaints.len(), 1);
@@ -136,7 +136,7 @@
     for name in ["account.key", "tried.json", "order.json"] {
         fs::write(dir.0.join(name), "{\"fail").expect("written");
     }
-    let found = storage.stock().expect("it is read");
+    let found = storage.read_state().expect("it is read");
     assert_eq!(found.complaints.len(), 3, "{:?}", found.complaints);
     let error = storage.account_key(KeyKind::Es256).expect_err("a cut key").to_string();
     assert!(error.contains("account.key") && error.contains("put a good copy back"), "{error}");
@@ -150,13 +150,13 @@
     let chain = issue_certificate(&first.csr);
     storage.prepare(true).expect("another key");
     storage.put_certificate(&chain).expect("the core checks before storing; storage checks when reading");
-    let found = storage.stock().expect("it is read");
+    let found = storage.read_state().expect("it is read");
     assert!(found.snapshot.certificates.is_empty());
     assert!(found.complaints[0].contains("do not belong together"), "{:?}", found.complaints);
     let prepared = storage.prepare(true).expect("prepared");
     storage.put_certificate(&issue_certificate(&prepared.csr)).expect("stored");
     let other = Storage::open(&dir.0, &["other.example".to_owned()]).expect("a directory");
-    assert!(other.stock().expect("it is read").snapshot.certificates.is_empty());
+    assert!(other.read_state().expect("it is read").snapshot.certificates.is_empty());
 }
 
 #[test]
