--- a/crates/lemoncleat-lab/src/agree.rs
+++ b/crates/lemoncleat-lab/src/agree.rs
@@ -1,8 +1,8 @@
-//! A rehearsal of what a fleet agrees on: real processes, links through the relay, faults that overlap with
-//! operators' orders, and a judge that reads nothing but answers of control ports.
+//! A fault-injection test of the fleet's agreement: real processes connected through the relay, faults that
+//! overlap with operators' orders, and a judge that reads only answers of control ports.
 //!
-//! Operators give marks, each under an order of its own, at any node, and again at another until they have an
-//! answer. Whatever failed meanwhile, every answer must be true at every node in the end.
+//! Operators submit marks, each under its own order id, at any node, and retry at another node until one
+//! answers. Whatever failed in between, every answer must hold at every node at the end.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -19,65 +19,65 @@
 
 use crate::stage::{Control, Cut, Disk, Fleet, FleetPlan, Links, Member, Program, Site, LIMIT};
 
-/// Operators that give orders at once, and how often each does.
-const OPERATORS: usize = 4;
-const EVERY: Duration = Duration::from_millis(100);
-/// Between two looks at something that is waited for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Zones that the nodes stand in.
+/// Number of concurrent operators, and the interval between two requests of each.
+const OPERATOR_COUNT: usize = 4;
+const ORDER_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between two polls of a node's marks.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Zones over which the nodes are spread.
 const ZONES: [&str; 3] = ["north", "middle", "south"];
 /// Voters of the fleet, one in each zone.
 const VOTERS: usize = 3;
 
-/// What is rehearsed.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct AgreePlan {
-    /// The binary of the product.
+    /// Path of the product's binary.
     pub binary: PathBuf,
-    /// Nodes, 3 to 64.
+    /// Number of nodes, 3 to 64.
     pub nodes: usize,
-    /// Seed of faults and orders.
+    /// Seed of the faults and orders.
     pub seed: u64,
-    /// How long faults come.
+    /// Time during which faults are injected.
     pub length: Duration,
-    /// A folder that is made for it.
+    /// Folder that is created for the run.
     pub folder: PathBuf,
 }
 
-/// One thing that was looked at.
+/// Result of one check.
 #[derive(Clone, Debug, Serialize)]
 pub struct Check {
-    /// What must hold.
+    /// Property that must hold.
     pub law: &'static str,
-    /// How often it was put to the test.
+    /// Number of cases that were checked.
     pub cases: u64,
-    /// Where it did not hold.
+    /// Descriptions of the cases that violated it.
     pub broken: Vec<String>,
 }
 
-/// What came of it.
+/// Result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct AgreeVerdict {
-    /// The laws.
+    /// Results of the checks.
     pub checks: Vec<Check>,
-    /// How often each fault was played.
+    /// Number of times each fault was injected.
     pub faults: BTreeMap<&'static str, u64>,
-    /// From the end of each fault until an order was agreed again, in milliseconds, longest first.
+    /// Time from the end of each fault until an order was agreed, in milliseconds, longest first.
     pub recovered_ms: Vec<u64>,
-    /// Orders that were answered, and asked again before they were.
+    /// Number of answers to orders; an order that two nodes answered counts twice.
     pub answered: u64,
-    /// Times an order was asked again.
+    /// Number of times an order was sent again.
     pub asked_again: u64,
 }
 
 impl AgreeVerdict {
-    /// Whether everything held.
+    /// Returns whether every check passed.
     pub fn kept(&self) -> bool {
         self.checks.iter().all(|check| check.broken.is_empty())
     }
 }
 
-/// An order that was answered.
+/// An answer to an order, with the index of its entry.
 #[derive(Clone, Debug)]
 struct Answer {
     order: String,
@@ -86,55 +86,55 @@
 }
 
 #[derive(Default)]
-struct Told {
+struct OrderLog {
     asked: BTreeSet<String>,
     answers: Vec<Answer>,
-    again: u64,
+    repeats: u64,
 }
 
 #[derive(Default)]
-struct Shared {
-    told: Mutex<Told>,
+struct LoadState {
+    order_log: Mutex<OrderLog>,
     stop: AtomicBool,
-    bell: Condvar,
+    pace: Condvar,
 }
 
-impl Shared {
-    fn told(&self) -> std::sync::MutexGuard<'_, Told> {
-        self.told.lock().unwrap_or_else(PoisonError::into_inner)
+impl LoadState {
+    fn order_log(&self) -> std::sync::MutexGuard<'_, OrderLog> {
+        self.order_log.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Asks a node for a mark; none if it did not answer that it is agreed.
-fn mark(control: &mut Control, order: &str) -> Option<u64> {
+/// Submits a mark at a node and returns its index, or `None` unless the node answers that it is agreed.
+fn submit_mark(control: &mut Control, order: &str) -> Option<u64> {
     let answer = control.ask(&json!({"op": "mark", "order": order, "text": "rehearsed"})).ok()?;
     answer["index"].as_u64().filter(|_| answer["ok"] == true)
 }
 
-fn operate(shared: &Shared, number: usize, nodes: &[std::net::SocketAddr], seed: u64) {
+fn run_operator(shared: &LoadState, number: usize, nodes: &[std::net::SocketAddr], seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed ^ (number as u64 + 1));
     for turn in 0u64.. {
         if shared.stop.load(Ordering::SeqCst) {
             return;
         }
         let order = format!("operator{number}-{turn}");
-        shared.told().asked.insert(order.clone());
+        shared.order_log().asked.insert(order.clone());
         let mut first = true;
-        // Some orders are given to two nodes though the first has answered.
+        // Every fifth order is sent until two requests are answered, to check that it is not agreed twice.
         let mut wanted = if turn % 5 == 0 { 2 } else { 1 };
         while wanted > 0 && !shared.stop.load(Ordering::SeqCst) {
             if !std::mem::take(&mut first) {
-                shared.told().again += 1;
+                shared.order_log().repeats += 1;
             }
             let node = random.random_range(0..nodes.len());
-            let index = Control::connect(nodes[node]).ok().and_then(|mut at| mark(&mut at, &order));
-            let mut told = shared.told();
+            let index = Control::connect(nodes[node]).ok().and_then(|mut at| submit_mark(&mut at, &order));
+            let mut order_log = shared.order_log();
             if let Some(index) = index {
-                told.answers.push(Answer { order: order.clone(), index, node });
+                order_log.answers.push(Answer { order: order.clone(), index, node });
                 wanted -= 1;
             }
-            // The pace of the load; the bell ends it early.
-            drop(shared.bell.wait_timeout(told, EVERY));
+            // Paces the load; a notification at the end of the run cuts the wait short.
+            drop(shared.pace.wait_timeout(order_log, ORDER_INTERVAL));
         }
     }
 }
@@ -152,7 +152,7 @@
     );
     text += "(members";
     for member in site.members {
-        // Its own address is nobody's to dial.
+        // The node's own entry is listed too; no node dials it.
         let address = site.address(&member.name)?;
         text += &format!(" (member (host {}) (address \"{address}\") (zone {}))", member.name, member.zone);
     }
@@ -174,7 +174,7 @@
     faults: BTreeMap<&'static str, u64>,
     recovered: Vec<u64>,
     probes: u64,
-    shared: Arc<Shared>,
+    shared: Arc<LoadState>,
     random: SmallRng,
 }
 
@@ -183,7 +183,7 @@
         self.fleet.processes[node].name().to_owned()
     }
 
-    /// Who leads, as the voters that answer say; a voter at random if nobody knows.
+    /// Returns the leader that the first answering voter names, or a random voter if none names one.
     fn leader(&mut self) -> usize {
         for voter in self.voters.clone() {
             let answer = self.fleet.control(voter).and_then(|mut at| at.ask(&json!({"op": "agreement"})));
@@ -196,36 +196,37 @@
         self.voters.choose(&mut self.random).copied().unwrap_or(0)
     }
 
-    /// Waits until an order given at a node is agreed, and notes how long that took.
-    fn recover(&mut self, node: usize, told: &mut dyn FnMut(&str)) -> io::Result<()> {
+    /// Waits until an order submitted at a node is agreed, and records how long that took.
+    fn recover(&mut self, node: usize, report: &mut dyn FnMut(&str)) -> io::Result<()> {
         let began = Instant::now();
         self.probes += 1;
         let order = format!("probe{}", self.probes);
-        self.shared.told().asked.insert(order.clone());
+        self.shared.order_log().asked.insert(order.clone());
         while began.elapsed() < LIMIT {
-            if let Some(index) = self.fleet.control(node).ok().and_then(|mut at| mark(&mut at, &order)) {
-                self.shared.told().answers.push(Answer { order, index, node });
+            if let Some(index) = self.fleet.control(node).ok().and_then(|mut at| submit_mark(&mut at, &order))
+            {
+                self.shared.order_log().answers.push(Answer { order, index, node });
                 let took = began.elapsed().as_millis() as u64;
                 self.recovered.push(took);
-                told(&format!("  agreed again after {took} ms"));
+                report(&format!("  agreed again after {took} ms"));
                 return Ok(());
             }
-            self.shared.told().again += 1;
+            self.shared.order_log().repeats += 1;
         }
         let why = format!("{order} was not agreed within {} s of the end of a fault", LIMIT.as_secs());
         Err(io::Error::new(io::ErrorKind::TimedOut, why))
     }
 
-    fn pass(&self, span: u64) {
-        // How long the fault lasts is what the fault is.
-        std::thread::sleep(Duration::from_millis(span));
+    fn hold_fault(&self, duration_ms: u64) {
+        // The fault lasts for this time.
+        std::thread::sleep(Duration::from_millis(duration_ms));
     }
 
-    /// Plays one fault and waits until orders are agreed again.
-    fn fault(&mut self, number: u32, told: &mut dyn FnMut(&str)) -> io::Result<()> {
+    /// Injects one fault and waits until an order is agreed after it.
+    fn fault(&mut self, number: u32, report: &mut dyn FnMut(&str)) -> io::Result<()> {
         let leader = self.leader();
         let others: Vec<usize> = self.voters.iter().copied().filter(|at| *at != leader).collect();
-        let span = self.random.random_range(500..2_000);
+        let duration_ms = self.random.random_range(500..2_000);
         let name = self.name(leader);
         let names: Vec<String> = (0..self.fleet.processes.len()).map(|at| self.name(at)).collect();
         let rest: Vec<&str> = names.iter().map(String::as_str).filter(|other| *other != name).collect();
@@ -242,46 +243,46 @@
             9 => "all connections of the leader reset",
             _ => "a node that follows starts anew without its disk",
         };
-        told(&format!("{what} ({name}, {span} ms)"));
+        report(&format!("{what} ({name}, {duration_ms} ms)"));
         *self.faults.entry(what).or_default() += 1;
         match number {
             0 => {
                 self.fleet.processes[leader].kill()?;
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 self.fleet.restart(&self.links, leader, Disk::Kept)?;
             }
             1 => {
                 self.fleet.processes[leader].pause()?;
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 self.fleet.processes[leader].resume()?;
             }
             2..=4 => {
-                let cut = if span % 2 == 0 { Cut::Late } else { Cut::Lost };
+                let cut = if duration_ms % 2 == 0 { Cut::Late } else { Cut::Lost };
                 let trouble = self.links.alone(&name, number != 4, number != 3, cut)?;
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 self.links.end(trouble)?;
             }
             5 => {
                 let (a, b) = (self.name(leader), self.name(others[0]));
                 let there = self.links.cut(&[&a], &[&b], Cut::Late)?;
                 let back = self.links.cut(&[&b], &[&a], Cut::Late)?;
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 self.links.end(there)?;
                 self.links.end(back)?;
             }
             6 => {
                 for _ in 0..5 {
                     let trouble = self.links.alone(&name, true, true, Cut::Late)?;
-                    self.pass(span / 5);
+                    self.hold_fault(duration_ms / 5);
                     self.links.end(trouble)?;
-                    self.pass(span / 5);
+                    self.hold_fault(duration_ms / 5);
                 }
             }
             7 => {
                 for at in [leader, others[0]] {
                     self.fleet.processes[at].kill()?;
                 }
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 for at in [leader, others[0]] {
                     self.fleet.restart(&self.links, at, Disk::Kept)?;
                 }
@@ -293,7 +294,7 @@
                 let outside: Vec<&str> =
                     names.iter().map(String::as_str).filter(|name| !inside.contains(name)).collect();
                 let trouble = self.links.partition(&[&inside, &outside], Cut::Late)?;
-                self.pass(span);
+                self.hold_fault(duration_ms);
                 self.links.end(trouble)?;
             }
             9 => {
@@ -305,33 +306,34 @@
                 let Some(at) = followers.choose(&mut self.random).copied() else { return Ok(()) };
                 self.fleet.processes[at].kill()?;
                 self.fleet.restart(&self.links, at, Disk::Lost)?;
-                return self.recover(at, told);
+                return self.recover(at, report);
             }
         }
-        self.recover(leader, told)
+        self.recover(leader, report)
     }
 
-    /// A voter comes back without its disk: it is told so and never votes again, the others go on.
-    fn lose_a_disk(&mut self, told: &mut dyn FnMut(&str)) -> io::Result<()> {
+    /// Restarts a voter without its disk: it must report that it only learns, and the others must go on.
+    fn lose_voter_disk(&mut self, report: &mut dyn FnMut(&str)) -> io::Result<()> {
         let leader = self.leader();
         let at = self.voters.iter().copied().find(|at| *at != leader).unwrap_or(leader);
         let what = "a voter loses its disk";
-        told(&format!("{what} ({})", self.name(at)));
+        report(&format!("{what} ({})", self.name(at)));
         *self.faults.entry(what).or_default() += 1;
         self.fleet.processes[at].kill()?;
         let since = self.fleet.processes[at].log_lines();
         self.fleet.restart(&self.links, at, Disk::Lost)?;
         self.fleet.processes[at].wait_for_log(since, |line| line.contains("only learns from now on"))?;
-        self.recover(at, told)
+        self.recover(at, report)
     }
 }
 
-/// Plays a rehearsal. `told` hears a line for each thing that happens.
+/// Runs the test. `report` receives a line for each event.
 ///
 /// # Errors
 ///
-/// When a process or the relay can't be started or steered, or nothing is agreed for long after a fault.
-pub fn rehearse_agree(plan: &AgreePlan, told: &mut dyn FnMut(&str)) -> io::Result<AgreeVerdict> {
+/// Fails if a process or the relay can't be started or controlled, or if no order is agreed within
+/// [`LIMIT`] after a fault.
+pub fn rehearse_agree(plan: &AgreePlan, report: &mut dyn FnMut(&str)) -> io::Result<AgreeVerdict> {
     if !(VOTERS..=64).contains(&plan.nodes) {
         return Err(io::Error::other(format!("{} nodes, expected {VOTERS} to 64", plan.nodes)));
     }
@@ -345,7 +347,7 @@
         .map(|at| fleet.ready(at).and_then(|ready| ready.control))
         .collect::<Option<Vec<_>>>()
         .ok_or_else(|| io::Error::other("a node without a control port"))?;
-    let shared = Arc::<Shared>::default();
+    let shared = Arc::<LoadState>::default();
     let mut rehearsal = Rehearsal {
         links,
         fleet,
@@ -356,78 +358,78 @@
         shared: shared.clone(),
         random: SmallRng::seed_from_u64(plan.seed),
     };
-    rehearsal.recover(plan.nodes - 1, told)?;
+    rehearsal.recover(plan.nodes - 1, report)?;
     let played = std::thread::scope(|scope| {
-        for number in 0..OPERATORS {
+        for number in 0..OPERATOR_COUNT {
             let (shared, ports) = (&*shared, &*ports);
-            scope.spawn(move || operate(shared, number, ports, plan.seed));
+            scope.spawn(move || run_operator(shared, number, ports, plan.seed));
         }
         let began = Instant::now();
         let mut play = || {
-            // Each fault once, in an order of the seed, then any.
+            // Each fault once, in an order drawn from the seed, then faults at random.
             let mut left: Vec<u32> = (0..11).collect();
             while began.elapsed() < plan.length {
                 let number = match left.len() {
                     0 => rehearsal.random.random_range(0..11),
                     count => left.swap_remove(rehearsal.random.random_range(0..count)),
                 };
-                rehearsal.fault(number, told)?;
+                rehearsal.fault(number, report)?;
             }
-            rehearsal.lose_a_disk(told)
+            rehearsal.lose_voter_disk(report)
         };
         let played = play();
         shared.stop.store(true, Ordering::SeqCst);
-        shared.bell.notify_all();
+        shared.pace.notify_all();
         played
     });
     let lists = played
-        .and_then(|()| (0..plan.nodes).try_for_each(|node| rehearsal.recover(node, told)))
-        .and_then(|()| gather(&rehearsal));
+        .and_then(|()| (0..plan.nodes).try_for_each(|node| rehearsal.recover(node, report)))
+        .and_then(|()| collect_marks(&rehearsal));
     if lists.is_err() {
-        told(&format!("logs of the nodes are kept in {}", rehearsal.fleet.keep().display()));
+        report(&format!("logs of the nodes are kept in {}", rehearsal.fleet.keep().display()));
     }
     let lists = lists?;
-    let told = shared.told();
+    let order_log = shared.order_log();
     let mut recovered_ms = rehearsal.recovered.clone();
     recovered_ms.sort_unstable_by(|a, b| b.cmp(a));
     Ok(AgreeVerdict {
-        checks: judge(&told, &lists),
+        checks: judge(&order_log, &lists),
         faults: rehearsal.faults.clone(),
         recovered_ms,
-        answered: told.answers.len() as u64,
-        asked_again: told.again,
+        answered: order_log.answers.len() as u64,
+        asked_again: order_log.repeats,
     })
 }
 
-type List = Vec<(u64, String)>;
+type MarkList = Vec<(u64, String)>;
 
-/// The marks of each node, once it has all that was answered.
-fn gather(rehearsal: &Rehearsal) -> io::Result<Vec<List>> {
-    let last = rehearsal.shared.told().answers.iter().map(|answer| answer.index).max().unwrap_or(0);
+/// Reads the marks of each node, once it has caught up with the last answered entry.
+fn collect_marks(rehearsal: &Rehearsal) -> io::Result<Vec<MarkList>> {
+    let last = rehearsal.shared.order_log().answers.iter().map(|answer| answer.index).max().unwrap_or(0);
     let mut lists = Vec::new();
     for node in 0..rehearsal.fleet.processes.len() {
         let began = Instant::now();
         lists.push(loop {
             let answer = rehearsal.fleet.control(node)?.ask(&json!({"op": "marks"}))?;
             if answer["index"].as_u64().is_some_and(|index| index >= last) {
-                break list(&answer);
+                break parse_marks(&answer);
             }
             if began.elapsed() > LIMIT {
-                return Err(io::Error::other(format!("node {node} never came to know entry {last}")));
+                return Err(io::Error::other(format!("node {node} did not learn entry {last} in time")));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(POLL_INTERVAL);
         });
     }
     Ok(lists)
 }
 
-fn list(answer: &Value) -> List {
+fn parse_marks(answer: &Value) -> MarkList {
     let marks = answer["marks"].as_array().cloned().unwrap_or_default();
     let mark = |mark: &Value| Some((mark["index"].as_u64()?, mark["order"].as_str()?.to_owned()));
     marks.iter().filter_map(mark).collect()
 }
 
-fn judge(told: &Told, lists: &[List]) -> Vec<Check> {
+fn judge(order_log: &OrderLog, lists: &[MarkList]) -> Vec<Check> {
     let check = |law| Check { law, cases: 0, broken: Vec::new() };
     let mut answers = check("an order that was answered stands at its entry, at every node");
     let mut once = check("an order stands once, however often it was asked for");
@@ -437,9 +439,10 @@
     for (node, list) in lists.iter().enumerate() {
         let by_order: BTreeMap<&str, u64> =
             list.iter().map(|(index, order)| (order.as_str(), *index)).collect();
-        // Marks beyond the number that is kept are forgotten, the oldest first.
+        // A node keeps a limited number of marks and drops the oldest first, so earlier answers can't be
+        // checked.
         let first = list.first().map_or(0, |(index, _)| *index);
-        for answer in told.answers.iter().filter(|answer| answer.index >= first) {
+        for answer in order_log.answers.iter().filter(|answer| answer.index >= first) {
             answers.cases += 1;
             if by_order.get(answer.order.as_str()) != Some(&answer.index) {
                 let text = format!(
@@ -454,17 +457,17 @@
         }
         once.cases += list.len() as u64;
         if by_order.len() != list.len() {
-            once.broken.push(format!("node {node} has an order twice"));
+            once.broken.push(format!("node {node} has an order at more than one entry"));
         }
         for (index, order) in list {
             asked.cases += 1;
-            if !told.asked.contains(order) {
+            if !order_log.asked.contains(order) {
                 asked.broken.push(format!("entry {index} of node {node}: {order}"));
             }
         }
         same.cases += 1;
         if shortest.is_some_and(|shortest| !list.starts_with(shortest)) {
-            same.broken.push(format!("node {node} differs"));
+            same.broken.push(format!("the marks of node {node} differ from those of the others"));
         }
     }
     vec![answers, once, asked, same]
@@ -474,27 +477,27 @@
 mod tests {
     use super::*;
 
-    fn broken(lists: &[List]) -> Vec<usize> {
+    fn broken(lists: &[MarkList]) -> Vec<usize> {
         let answer = |order: &str, index| Answer { order: order.to_owned(), index, node: 0 };
         let asked = ["a", "b", "c"].map(str::to_owned).into_iter().collect();
-        let told = Told { asked, answers: vec![answer("a", 2), answer("b", 5)], again: 0 };
-        judge(&told, lists).iter().map(|check| check.broken.len()).collect()
+        let order_log = OrderLog { asked, answers: vec![answer("a", 2), answer("b", 5)], repeats: 0 };
+        judge(&order_log, lists).iter().map(|check| check.broken.len()).collect()
     }
 
-    fn list(of: &[(u64, &str)]) -> List {
+    fn list(of: &[(u64, &str)]) -> MarkList {
         of.iter().map(|(index, order)| (*index, (*order).to_owned())).collect()
     }
 
     #[test]
-    fn each_law_is_found_broken_by_the_one_list_that_breaks_it() {
+    fn judge_reports_exactly_the_violated_check() {
         let good = list(&[(2, "a"), (4, "c"), (5, "b")]);
         assert_eq!(broken(&[good.clone(), good.clone()]), [0, 0, 0, 0]);
         let lost = list(&[(2, "a"), (4, "c")]);
         assert_eq!(broken(&[lost]), [1, 0, 0, 0]);
         let twice = list(&[(2, "a"), (4, "c"), (5, "b"), (6, "c")]);
         assert_eq!(broken(&[twice]), [0, 1, 0, 0]);
-        let stray = list(&[(2, "a"), (4, "x"), (5, "b")]);
-        assert_eq!(broken(&[stray]), [0, 0, 1, 0]);
+        let unrequested = list(&[(2, "a"), (4, "x"), (5, "b")]);
+        assert_eq!(broken(&[unrequested]), [0, 0, 1, 0]);
         let other = list(&[(2, "a"), (3, "c"), (5, "b")]);
         assert_eq!(broken(&[good, other]), [0, 0, 0, 1]);
     }
--- a/crates/lemoncleat-lab/src/bench_day.rs
+++ b/crates/lemoncleat-lab/src/bench_day.rs
@@ -1,9 +1,9 @@
 //! Days of the operators' bench, scaled onto real nodes.
 //!
-//! Taken over are the fleet (access nodes and servers, their relative capacities), the load, the classes, the
-//! list's delay, what processors report, and the troubles with their moments. `speed` shortens the day and its
-//! troubles, `size` shrinks the fleet of nodes and the rates; the spans of the protocol (aims, deadlines,
-//! release, drain grace) stay as they are. A kind of trouble that has no counterpart here is named.
+//! The conversion keeps the fleet (access nodes and servers, their relative capacities), the load, the
+//! classes, the list's delay, the processors' reports, and the troubles with their times. `speed` shortens
+//! the day and its troubles, `size` reduces the number of nodes and the rates; the times of the protocol
+//! (aims, deadlines, release, drain grace) stay unchanged. Troubles without a counterpart here are reported.
 
 use std::fmt;
 
@@ -12,20 +12,20 @@
 
 use crate::day::{CallerDay, ClassDay, Day, ListDay, ProcessorDay, ServerDay, Trouble, TroubleKind};
 
-/// Most nodes and servers that a rehearsal on one machine takes.
+/// Limits of the nodes and servers of a run on one machine.
 const MOST_NODES: u16 = 16;
 const MOST_SERVERS: usize = 24;
 /// Busy share of the processors at the planned load, about the middle of what the briefs tell.
 const BUSY_AT_PLAN: f64 = 0.84;
 
-/// A bench day that can't be taken over.
+/// A reason why a bench day can't be converted.
 #[derive(Debug)]
 pub enum BenchDayError {
-    /// It is no JSON of a bench day.
+    /// The text is not the JSON of a bench day.
     Json(serde_json::Error),
-    /// A trouble of a kind that is not known here.
+    /// A trouble of an unknown kind.
     Trouble(String),
-    /// Its figures don't make a day.
+    /// Its figures don't form a valid day.
     Figures(String),
 }
 
@@ -44,9 +44,9 @@
 /// A bench day, scaled.
 #[derive(Clone, Debug)]
 pub struct BenchDay {
-    /// The day to rehearse.
+    /// The converted day.
     pub day: Day,
-    /// What was left out, and why.
+    /// Parts that were left out, with the reason.
     pub notes: Vec<String>,
 }
 
@@ -174,14 +174,14 @@
 ///
 /// # Errors
 ///
-/// When it is no bench day, or holds a trouble that is not known here.
+/// Fails if the text is not a bench day or contains an unknown trouble.
 pub fn bench_day(text: &str, speed: f64, size: f64) -> Result<BenchDay, BenchDayError> {
     let json: Json = serde_json::from_str(text).map_err(BenchDayError::Json)?;
     if !(speed > 0.0 && size > 0.0 && speed.is_finite() && size.is_finite()) {
         return Err(BenchDayError::Figures("speed and size must be above zero".to_owned()));
     }
     let mut notes = Vec::new();
-    // Machines that start in the course of the day take the places of others; only the first are kept.
+    // Machines that start during the day replace others; only the initial ones are kept.
     let up: Vec<usize> =
         (0..json.servers.len()).filter(|index| json.servers[*index].up).take(MOST_SERVERS).collect();
     let total: f64 = up.iter().map(|index| json.servers[*index].speed).sum();
@@ -284,7 +284,7 @@
                 if on.is_empty() {
                     notes.push(format!("origin_slow: zone {zone:?} has no server, left out"));
                 } else {
-                    // One part in root(size) of the lines stays.
+                    // A share of 1/sqrt(size) of the lines remains.
                     let keep = 1.0 / trouble.size.max(1.0).sqrt();
                     day.troubles.push(Trouble { on, ..simple(TroubleKind::Lines, keep) });
                 }
@@ -303,13 +303,13 @@
                 }
             }
             "balancer_stall" => {
-                // As large a part of the nodes here as there.
+                // The same share of the nodes as in the bench day.
                 let part = trouble.on.len() as f64 / json.balancers.len().max(1) as f64;
                 let stalled = ((f64::from(nodes) * part).round() as u16).clamp(1, nodes);
                 for node in 0..stalled {
                     let stall = simple(TroubleKind::Stall, trouble.size / 1e3 / speed);
                     let at = Span(at.0 + i64::from(node) * 150_000);
-                    // The day tells the mean pause in seconds.
+                    // The bench day states the mean pause in seconds.
                     let pause =
                         if trouble.extra > 0.0 { scaled(trouble.extra * 1e6) } else { Trouble::PAUSE };
                     day.troubles.push(Trouble { at, on: Vec::new(), node, pause, ..stall });
@@ -329,7 +329,7 @@
 mod tests {
     use super::*;
 
-    /// A day in the bench's form, written for this test.
+    /// A day in the bench's format, written for this test.
     fn json(troubles: &str) -> String {
         format!(
             r#"{{"site":"test","kind":"trouble","length":40000000,"noise":5,"zones":["a","b"],
--- a/crates/lemoncleat-lab/src/caller.rs
+++ b/crates/lemoncleat-lab/src/caller.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::server::MAX_MESSAGE;
+use crate::server::MAX_MESSAGE_BYTES;
 use crate::Micros;
 
 /// A front-end: one client peer of one node.
@@ -17,20 +17,20 @@
     pub peer: Peer,
     pub conn: Option<u64>,
     pub reader: FrameReader,
-    /// Callers whose request is out, by hop-by-hop identifier.
-    pub requests: HopByHop<Sent>,
-    /// They, as they were sent.
+    /// Outstanding requests, by hop-by-hop identifier.
+    pub requests: HopByHop<Outstanding>,
+    /// The same requests as they were sent, for retransmission.
     pub unanswered: BTreeMap<u32, Unanswered>,
 }
 
-/// A request as it was sent, and for set-ups when its caller gives up.
+/// A request as it was sent and, for set-ups, the time at which its caller gives up.
 pub(crate) struct Unanswered {
     bytes: Vec<u8>,
     deadline: Option<Micros>,
 }
 
 impl Unanswered {
-    /// The same as a repeat (T bit); a set-up tells how long its caller still waits.
+    /// Returns the request as a retransmission (T bit); a set-up states how long its caller still waits.
     fn repeat(&self, now: Micros) -> Option<Vec<u8>> {
         let request = MessageRef::parse(&self.bytes).ok()?;
         let head = request.header;
@@ -51,10 +51,10 @@
     }
 }
 
-/// What a front-end waits for the answer of.
+/// Kind of a request that waits for its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Sent {
-    /// A set-up: which caller, and which of its tries.
+pub(crate) enum Outstanding {
+    /// A set-up: caller and number of the try.
     SetUp(usize, u32),
     /// A release.
     Release,
@@ -86,19 +86,19 @@
             node,
             peer: Peer::new(local, settings, seed),
             conn: None,
-            reader: FrameReader::new(MAX_MESSAGE),
+            reader: FrameReader::new(MAX_MESSAGE_BYTES),
             requests: HopByHop::new(seed as u32),
             unanswered: BTreeMap::new(),
         }
     }
 
-    /// The connection that requests go out on.
+    /// Returns the connection on which requests are sent, if it is open.
     pub fn open(&self) -> Option<u64> {
         self.peer.connection().filter(|_| self.peer.is_open()).map(|ConnId(conn)| conn)
     }
 
-    /// A set-up request.
-    pub fn set_up(&mut self, now: Micros, call: &SetUp<'_>, sent: Sent, end_to_end: u32) -> Vec<u8> {
+    /// Builds a set-up request and records it as outstanding.
+    pub fn set_up(&mut self, now: Micros, call: &SetUp<'_>, sent: Outstanding, end_to_end: u32) -> Vec<u8> {
         let hop_by_hop = self.requests.begin(sent);
         let mut request = MessageBuilder::request(d::CMD_AA, d::APP_NAS, true, hop_by_hop, end_to_end)
             .add_str(d::SESSION_ID, call.session)
@@ -119,8 +119,8 @@
         bytes
     }
 
-    /// The requests that were not answered, marked as repeats: for a connection that takes the place of another.
-    pub fn repeats(&mut self, now: Micros) -> Vec<(u32, Sent, Vec<u8>)> {
+    /// Returns the unanswered requests as retransmissions, to be sent on a connection that replaces another.
+    pub fn repeats(&mut self, now: Micros) -> Vec<(u32, Outstanding, Vec<u8>)> {
         let mut all = Vec::new();
         for (hop_by_hop, unanswered) in &self.unanswered {
             let sent = self.requests.get_mut(*hop_by_hop).map(|sent| *sent);
@@ -129,15 +129,15 @@
         all
     }
 
-    /// A request was answered.
-    pub fn finish(&mut self, hop_by_hop: u32) -> Option<Sent> {
+    /// Removes an answered request and returns its kind.
+    pub fn finish(&mut self, hop_by_hop: u32) -> Option<Outstanding> {
         self.unanswered.remove(&hop_by_hop);
         self.requests.finish(hop_by_hop)
     }
 
-    /// A release.
+    /// Builds a release request and records it as outstanding.
     pub fn release(&mut self, session: &str) -> Vec<u8> {
-        let hop_by_hop = self.requests.begin(Sent::Release);
+        let hop_by_hop = self.requests.begin(Outstanding::Release);
         let request =
             MessageBuilder::request(d::CMD_SESSION_TERMINATION, d::APP_NAS, true, hop_by_hop, hop_by_hop)
                 .add_str(d::SESSION_ID, session)
@@ -152,7 +152,7 @@
     }
 }
 
-/// What a set-up request says.
+/// Contents of a set-up request.
 pub(crate) struct SetUp<'a> {
     pub session: &'a str,
     pub called: &'a str,
@@ -161,16 +161,16 @@
     pub marks: u32,
 }
 
-/// A caller, from its first try to its end.
+/// State of a caller, from its first try to its end.
 #[derive(Debug)]
 pub(crate) struct Caller {
     pub class: usize,
     pub place: usize,
-    /// When the whole caller gives up.
+    /// Time at which the caller gives up all tries.
     pub ends: Micros,
     pub tries: u32,
     pub state: CallerState,
-    /// Its call was cut and it comes again.
+    /// The call was cut and the caller tries again.
     pub cut: bool,
 }
 
@@ -178,9 +178,9 @@
 pub(crate) enum CallerState {
     /// Between two tries.
     Waiting,
-    /// A try is out, on which front-end, under which session.
+    /// A try is outstanding: front-end and session.
     Trying(u16, String),
-    /// The call stands.
+    /// The call stands: front-end and session.
     Standing(u16, String),
     Done,
 }
--- a/crates/lemoncleat-lab/src/capture.rs
+++ b/crates/lemoncleat-lab/src/capture.rs
@@ -1,7 +1,8 @@
-//! What crossed the sockets, with its moments, and the facts that the rules are measured by.
+//! The capture: all messages and events of a run with their times, and the figures by which the rules are
+//! judged.
 //!
-//! A file begins with a line that names its format; each record is its length (four bytes, little end first)
-//! and its postcard encoding.
+//! A file begins with a line that names its format. Each record is its length (four bytes, little-endian)
+//! followed by its postcard encoding.
 
 use std::fmt;
 use std::fs::File;
@@ -15,10 +16,10 @@
 use crate::Micros;
 
 const MAGIC: &[u8] = b"lemoncleat capture 1\n";
-/// Longest record taken from a file.
-const MAX_RECORD: usize = 32 << 20;
+/// Length limit of records in a file.
+const MAX_RECORD_BYTES: usize = 32 << 20;
 
-/// Which stand-in's end of a connection a record is from.
+/// The stand-in whose end of a connection a record is from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum End {
     /// A front-end with callers.
@@ -27,16 +28,16 @@
     Server(u16),
 }
 
-/// A class of calls, as far as the judge needs it.
+/// Parameters of a class of calls that the judge needs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassFacts {
     /// Its name.
     pub name: String,
-    /// What its numbers begin with.
+    /// Prefix of its numbers.
     pub prefix: String,
-    /// A call that stands within this time earns its full worth.
+    /// A call established within this time earns its full worth.
     pub aim: Micros,
-    /// How long a caller goes on, from the first try.
+    /// Time from the first try at which a caller gives up.
     pub deadline: Micros,
     /// Worth of a call.
     pub worth: f64,
@@ -44,35 +45,36 @@
     pub late_worth: f64,
 }
 
-/// The figures of the rules.
+/// Figures by which the rules are judged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Facts {
     /// Name of the day.
     pub day: String,
     /// The classes.
     pub classes: Vec<ClassFacts>,
-    /// Rule 1: how long past the deadline an answer still counts as in time.
+    /// Rule 1: time past the deadline in which an answer still counts as in time.
     pub answer_grace: Micros,
-    /// Rule 3: how long after a drain is told sends must have ended.
+    /// Rule 3: time after the notice of a drain in which sends must end.
     pub drain_grace: Micros,
-    /// Rule 4: multiple of the present capacity.
+    /// Rule 4: multiple of the current capacity beyond which a cold server fails.
     pub fall_multiple: f64,
-    /// Rule 4: over how long.
+    /// Rule 4: span over which set-ups are counted.
     pub fall_span: Micros,
     /// Rule 5: the release time.
     pub release: Micros,
-    /// How far two stand-ins' moments may be apart: both are read by one loop, a little after the fact.
+    /// Upper limit of the difference between recorded times of two stand-ins: one loop reads both, slightly
+    /// after the event.
     pub skew: Micros,
 }
 
-/// One thing that happened. Moments are microseconds of one clock.
+/// One recorded event. Times are microseconds of one clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The figures; first.
+    /// The figures of the rules; always the first record.
     Facts(Facts),
-    /// A whole frame, read from or written to a connection of a stand-in.
+    /// A complete frame, read from or written to a connection of a stand-in.
     Frame {
-        /// When.
+        /// Time of the event.
         at: Micros,
         /// The stand-in's end.
         end: End,
@@ -80,14 +82,14 @@
         node: u16,
         /// The connection.
         conn: u64,
-        /// Sent to the node, or read from it.
+        /// Whether it was sent to the node, rather than read from it.
         to_node: bool,
         /// Its bytes.
         bytes: Vec<u8>,
     },
     /// A connection of a stand-in ended.
     Closed {
-        /// When.
+        /// Time of the event.
         at: Micros,
         /// The stand-in's end.
         end: End,
@@ -96,92 +98,92 @@
     },
     /// A line of the list was sent to a node.
     Listed {
-        /// When.
+        /// Time of the event.
         at: Micros,
-        /// To which node.
+        /// Node that it was sent to.
         node: u16,
-        /// About which server.
+        /// Server that it describes.
         server: u16,
-        /// It may be sent new work.
+        /// Whether the server accepts new calls.
         ready: bool,
-        /// It tells a start of its process.
+        /// Whether it states the start of the server's process.
         started: bool,
     },
     /// A server's process started cold.
     Started {
-        /// When.
+        /// Time of the event.
         at: Micros,
-        /// Which server.
+        /// The server.
         server: u16,
-        /// Calls a second that it can carry when warm.
+        /// Calls per second that it can process when warm.
         capacity: f64,
-        /// Share of that at the start.
+        /// Share of that capacity at the start.
         from: f64,
         /// Time to warm up.
         span: Micros,
     },
-    /// A handshake with a node in which it showed a certificate.
+    /// A handshake with a node in which it presented a certificate.
     Handshake {
-        /// When.
+        /// Time of the event.
         at: Micros,
         /// The node.
         node: u16,
-        /// When by the wall clock, in seconds since 1970.
+        /// Time by the wall clock, in seconds since 1970.
         wall: i64,
-        /// From when to when the certificate is valid, in seconds since 1970.
+        /// Start and end of the certificate's validity, in seconds since 1970.
         validity: (i64, i64),
     },
-    /// A handshake with a node that came to nothing.
+    /// A failed handshake with a node.
     NoHandshake {
-        /// When.
+        /// Time of the event.
         at: Micros,
         /// The node.
         node: u16,
     },
-    /// A server fell over under a cold start, as its model has it.
+    /// A server failed from overload during a cold start, as its model defines.
     Fell {
-        /// When.
+        /// Time of the event.
         at: Micros,
-        /// Which server.
+        /// The server.
         server: u16,
     },
     /// A trouble of the script began or ended.
     Trouble {
-        /// When.
+        /// Time of the event.
         at: Micros,
         /// Its number in the script.
         number: u16,
-        /// What it is.
+        /// Description of the trouble.
         text: String,
-        /// It began, or ended.
+        /// Whether it began, rather than ended.
         begins: bool,
     },
-    /// A node gets no turn for a while, by the script.
+    /// A scripted stall of a node.
     Stall {
-        /// From when.
+        /// Start of the stall.
         at: Micros,
-        /// Which node.
+        /// The node.
         node: u16,
-        /// For how long.
+        /// Duration of the stall.
         time: Micros,
     },
-    /// The stand-ins' own loop got no turn between two moments: what was read at the second may have come
+    /// The stand-ins' event loop was delayed between two times: what was read at the second may have arrived
     /// at any time since the first.
     Behind {
-        /// From when.
+        /// Start of the delay.
         from: Micros,
-        /// Until when.
+        /// End of the delay.
         at: Micros,
     },
-    /// Nodes are being stopped: what they leave undone from here on is no fault.
+    /// The nodes are being stopped: work left undone from here on is not a violation.
     End {
-        /// When.
+        /// Time of the event.
         at: Micros,
     },
 }
 
 impl Record {
-    /// When it happened; facts hold from the beginning.
+    /// Returns the time of the record; facts have the earliest possible time.
     pub fn at(&self) -> Micros {
         match self {
             Record::Facts(_) => Micros::MIN,
@@ -201,7 +203,7 @@
 }
 
 impl Record {
-    /// One line for people: when, between whom, what.
+    /// Returns a one-line description: time, ends and contents.
     pub fn text(&self) -> String {
         let at = self.at() as f64 / 1e6;
         match self {
@@ -216,20 +218,20 @@
                     code => format!(" {code}"),
                 };
                 let hop = head.hop_by_hop;
-                // What circuits and deadlines are explained by.
-                let told = [
+                // Values that explain circuits and deadlines.
+                let details = [
                     ("operation", d::CIRCUIT_OPERATION),
                     ("circuit", d::CIRCUIT_ID),
                     ("count", d::CIRCUIT_COUNT),
                     ("reason", d::SETUP_REASON),
                     ("patience", d::SETUP_PATIENCE),
                 ];
-                let told = told.map(|(name, avp)| {
+                let details = details.map(|(name, avp)| {
                     message.number(avp).map_or(String::new(), |number| format!(" {name} {number}"))
                 });
-                let told = told.concat();
+                let details = details.concat();
                 format!(
-                    "{at:.6} {end:?} {way} node {node}, connection {conn}: {name}{result} {session} ({hop:#x}){told}"
+                    "{at:.6} {end:?} {way} node {node}, connection {conn}: {name}{result} {session} ({hop:#x}){details}"
                 )
             }
             Record::Closed { end, conn, .. } => format!("{at:.6} {end:?}: connection {conn} closed"),
@@ -238,12 +240,12 @@
     }
 }
 
-/// A file that is no capture.
+/// A reason why a capture can't be read or written.
 #[derive(Debug)]
 pub enum CaptureError {
-    /// It can't be read or written.
+    /// The file can't be read or written.
     Io(io::Error),
-    /// It does not begin as a capture does.
+    /// The file does not begin with the line of a capture.
     Format,
     /// A record can't be read.
     Record(usize, String),
@@ -267,7 +269,7 @@
     }
 }
 
-/// All that happened in one rehearsal, in order.
+/// All records of one run, in order.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Capture {
     /// The records.
@@ -275,11 +277,11 @@
 }
 
 impl Capture {
-    /// Writes it to a file.
+    /// Writes the capture to a file.
     ///
     /// # Errors
     ///
-    /// When the file can't be written.
+    /// Fails if the file can't be written.
     pub fn write(&self, path: &Path) -> Result<(), CaptureError> {
         let mut file = BufWriter::new(File::create(path)?);
         file.write_all(MAGIC)?;
@@ -293,20 +295,20 @@
         Ok(())
     }
 
-    /// Reads it from a file.
+    /// Reads a capture from a file.
     ///
     /// # Errors
     ///
-    /// When the file can't be read, is no capture, or is cut off.
+    /// Fails if the file can't be read, is not a capture, or is truncated.
     pub fn read(path: &Path) -> Result<Capture, CaptureError> {
         Capture::read_from(BufReader::new(File::open(path)?))
     }
 
-    /// Reads it from anything.
+    /// Reads a capture from a reader.
     ///
     /// # Errors
     ///
-    /// As [`Capture::read`].
+    /// Fails under the same conditions as [`Capture::read`].
     pub fn read_from(mut input: impl Read) -> Result<Capture, CaptureError> {
         let mut magic = [0; MAGIC.len()];
         input.read_exact(&mut magic).map_err(|_| CaptureError::Format)?;
@@ -316,18 +318,18 @@
         let mut records = Vec::new();
         loop {
             let number = records.len();
-            let cut = |_| CaptureError::Record(number, "the file ends inside it".to_owned());
+            let truncated = |_| CaptureError::Record(number, "the file ends inside it".to_owned());
             let mut length = [0; 4];
             match input.read(&mut length[..1])? {
                 0 => return Ok(Capture { records }),
-                _ => input.read_exact(&mut length[1..]).map_err(cut)?,
+                _ => input.read_exact(&mut length[1..]).map_err(truncated)?,
             }
             let length = u32::from_le_bytes(length) as usize;
-            if length > MAX_RECORD {
+            if length > MAX_RECORD_BYTES {
                 return Err(CaptureError::Record(number, format!("{length} bytes are too many")));
             }
             let mut bytes = vec![0; length];
-            input.read_exact(&mut bytes).map_err(cut)?;
+            input.read_exact(&mut bytes).map_err(truncated)?;
             let record =
                 postcard::from_bytes(&bytes).map_err(|e| CaptureError::Record(number, e.to_string()))?;
             records.push(record);
--- a/crates/lemoncleat-lab/src/credentials.rs
+++ b/crates/lemoncleat-lab/src/credentials.rs
@@ -1,4 +1,4 @@
-//! TLS of a rehearsal: the stand-in authority, the stand-ins' own certificates, and what each node is told.
+//! TLS of a run: the stand-in authority, the stand-ins' own certificates, and the TLS settings of each node.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,13 +12,13 @@
 
 use crate::day::CertificateDay;
 
-/// Stand-ins' own certificates outlast any rehearsal.
-const LONG: i64 = 86_400;
-/// Handshakes that a stand-in takes at once, and how long each may take.
-pub(crate) const HANDSHAKES: usize = 256;
-pub(crate) const HANDSHAKE: std::time::Duration = std::time::Duration::from_secs(5);
+/// Time before and after their issue in which stand-ins' own certificates are valid; longer than any run.
+const OWN_CERTIFICATE_MARGIN_S: i64 = 86_400;
+/// Concurrent handshakes that a stand-in accepts, and the time limit of each.
+pub(crate) const MAX_HANDSHAKES: usize = 256;
+pub(crate) const HANDSHAKE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// An authority on loopback, and certificates by it for stand-ins and nodes.
+/// A certificate authority on loopback, and its certificates for stand-ins and nodes.
 pub struct Credentials {
     host: Host,
     folder: PathBuf,
@@ -26,8 +26,8 @@
     day: CertificateDay,
 }
 
-/// Seconds since 1970.
-pub(crate) fn wall() -> i64 {
+/// Returns the seconds since 1970.
+pub(crate) fn unix_seconds() -> i64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_secs() as i64)
 }
 
@@ -36,7 +36,7 @@
     ///
     /// # Errors
     ///
-    /// When no port, key or folder is to be had.
+    /// Fails if no port, key or folder can be created.
     pub fn new(day: &CertificateDay, seed: u64) -> Result<Credentials, String> {
         let settings = AuthoritySettings {
             base: String::new(),
@@ -50,60 +50,66 @@
         host.authority().faults.bad_nonces = day.bad_nonces;
         let name = format!("lemoncleat-rehearsal-{}-{seed:x}", std::process::id());
         let folder = std::env::temp_dir().join(name);
-        let told = |error: std::io::Error| format!("{}: {error}", folder.display());
-        std::fs::create_dir_all(&folder).map_err(told)?;
+        let describe = |error: std::io::Error| format!("{}: {error}", folder.display());
+        std::fs::create_dir_all(&folder).map_err(describe)?;
         let roots = folder.join("roots.pem");
-        std::fs::write(&roots, &host.authority().roots()[0]).map_err(told)?;
+        std::fs::write(&roots, &host.authority().roots()[0]).map_err(describe)?;
         let authorities = Authorities::read(&roots).map_err(|error| error.to_string())?;
         Ok(Credentials { host, folder, authorities, day: day.clone() })
     }
 
     fn identity(&self, name: &str) -> Result<Identity, String> {
-        let now = wall();
+        let now = unix_seconds();
         let names = [name.to_owned()];
-        let (chain, key) = self.host.authority().issue_plainly(&names, (now - LONG, now + LONG))?;
+        let (chain, key) = self
+            .host
+            .authority()
+            .issue_plainly(&names, (now - OWN_CERTIFICATE_MARGIN_S, now + OWN_CERTIFICATE_MARGIN_S))?;
         Identity::from_pem(&format!("{key}{chain}")).map_err(|error| error.to_string())
     }
 
-    /// The configuration of a stand-in's listener.
+    /// Returns the TLS configuration of a stand-in's listener.
     ///
     /// # Errors
     ///
-    /// When its certificate can't be made.
+    /// Fails if its certificate can't be created.
     pub fn server(&self, name: &str) -> Result<Arc<ServerConfig>, String> {
         let config = server_config(Some(self.identity(name)?), &self.authorities, MinVersion::Tls13);
         config.map_err(|error| error.to_string())
     }
 
-    /// A configuration of its own for each dial: nothing is taken up from an earlier one, so that every handshake
-    /// shows a certificate.
+    /// Returns a new TLS configuration for one dial. Sessions are not resumed between dials, so that the node
+    /// presents a certificate in every handshake.
     ///
     /// # Errors
     ///
-    /// When the identity is of no use.
+    /// Fails if the identity can't be used.
     pub fn client(&self, identity: &Identity) -> Result<Arc<ClientConfig>, String> {
         let config = client_config(Some(identity.clone()), &self.authorities, MinVersion::Tls13);
         config.map_err(|error| error.to_string())
     }
 
-    /// Who a stand-in is when it dials.
+    /// Returns the identity that a stand-in uses when it dials.
     ///
     /// # Errors
     ///
-    /// When its certificate can't be made.
+    /// Fails if its certificate can't be created.
     pub fn client_identity(&self, name: &str) -> Result<Identity, String> {
         self.identity(name)
     }
 
-    /// A node's form for TLS with files that nobody renews.
+    /// Returns a node's settings form for TLS with certificate files that are not renewed.
     ///
     /// # Errors
     ///
-    /// When they can't be made or written.
+    /// Fails if the files can't be created or written.
     pub fn node_with_files(&self, name: &str) -> Result<String, String> {
-        let now = wall();
+        let now = unix_seconds();
         let names = [name.to_owned()];
-        let (chain, key) = self.host.authority().issue_plainly(&names, (now - LONG, now + LONG))?;
+        let (chain, key) = self
+            .host
+            .authority()
+            .issue_plainly(&names, (now - OWN_CERTIFICATE_MARGIN_S, now + OWN_CERTIFICATE_MARGIN_S))?;
         let folder = self.folder.display();
         for (end, text) in [("pem", chain), ("key", key)] {
             let file = self.folder.join(format!("{name}.{end}"));
@@ -114,7 +120,7 @@
         ))
     }
 
-    /// A node's form for TLS with certificates by ACME.
+    /// Returns a node's settings form for TLS with certificates obtained by ACME.
     pub fn node(&self, node: u16) -> String {
         let CertificateDay { renew_at, challenge, .. } = &self.day;
         format!(
@@ -126,17 +132,18 @@
         )
     }
 
-    /// Where a node's name is to be looked for.
-    pub(crate) fn place(&self, node: u16, address: SocketAddr, challenge: Option<SocketAddr>) {
+    /// Registers the addresses at which the authority validates a node's name.
+    pub(crate) fn register_node(&self, node: u16, address: SocketAddr, challenge: Option<SocketAddr>) {
         self.host.place(&format!("node-{node}.lab"), Found { http: challenge, tls: Some(address) });
     }
 
-    pub(crate) fn away(&self, away: bool) {
+    pub(crate) fn set_away(&self, away: bool) {
         self.host.set_away(away);
     }
 
-    /// Refusals partway: at every other step for good, so that the order is dead.
-    pub(crate) fn refuse(&self, on: bool) {
+    /// Starts or ends refusals at each step; every other step refuses permanently, which invalidates the
+    /// order.
+    pub(crate) fn set_refusing(&self, on: bool) {
         let stages =
             [Stage::NewOrder, Stage::Authorization, Stage::Challenge, Stage::Finalize, Stage::Download];
         let refusal = |(index, stage): (usize, &Stage)| match index % 2 {
@@ -147,8 +154,8 @@
             if on { stages.iter().enumerate().map(refusal).collect() } else { Vec::new() };
     }
 
-    /// Certificates that the authority issued to nodes, and what nodes did that no client may do.
-    pub(crate) fn told(&self) -> (usize, Vec<String>) {
+    /// Returns the number of certificates issued to nodes, and the nodes' violations of the ACME protocol.
+    pub(crate) fn issue_report(&self) -> (usize, Vec<String>) {
         let authority = self.host.authority();
         (authority.issued().len(), authority.complaints().to_vec())
     }
--- a/crates/lemoncleat-lab/src/day.rs
+++ b/crates/lemoncleat-lab/src/day.rs
@@ -3,65 +3,65 @@
 use lemoncleat_settings::{from_str, Error, Rate, Span};
 use serde::Deserialize;
 
-/// A day to rehearse.
+/// A scripted day.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Day {
     /// Its name.
     pub name: String,
-    /// How long calls arrive.
+    /// Time in which calls arrive.
     pub length: Span,
-    /// How long is waited after the last arrival.
+    /// Time after the last arrival until the day ends.
     #[serde(default = "tail")]
     pub tail: Span,
-    /// Seed of all that is random in the stand-ins.
+    /// Seed of the stand-ins' random numbers.
     #[serde(default)]
     pub seed: u64,
-    /// Access nodes.
+    /// Number of access nodes.
     pub nodes: u16,
     /// Front-ends for each node.
     #[serde(default = "two")]
     pub fronts: u16,
-    /// First tries a second, all together.
+    /// First tries per second, in total.
     pub rate: Rate,
     /// The call servers.
     pub servers: Vec<ServerDay>,
     /// The classes of calls.
     pub classes: Vec<ClassDay>,
-    /// What callers do.
+    /// Behaviour of callers.
     #[serde(default)]
     pub callers: CallerDay,
-    /// How processors work.
+    /// Parameters of the servers' processors.
     #[serde(default)]
     pub processor: ProcessorDay,
-    /// How the list behaves.
+    /// Delays of the server list.
     #[serde(default)]
     pub list: ListDay,
     /// Trunk groups between each node and each server.
     #[serde(default)]
     pub circuits: Option<CircuitDay>,
-    /// TLS everywhere, with certificates that the nodes get from a stand-in authority.
+    /// TLS on all connections, with certificates that the nodes obtain from a stand-in authority.
     #[serde(default)]
     pub certificates: Option<CertificateDay>,
-    /// Nothing of this day is a reason to cut or turn away a call: any that is counts as a failure.
+    /// No trouble of this day justifies a cut or refused call: each one counts as a failure.
     #[serde(default)]
     pub harmless: bool,
-    /// Tw between nodes and servers.
+    /// Watchdog interval (Tw) between nodes and servers.
     #[serde(default = "watchdog")]
     pub watchdog: Span,
-    /// How much earlier than the caller the nodes stop waiting.
+    /// Time before the caller's deadline at which the nodes stop waiting.
     #[serde(default = "answer_margin")]
     pub answer_margin: Span,
-    /// Attempts that a call may have.
+    /// Maximum number of attempts of a call.
     #[serde(default = "four")]
     pub attempts: u32,
-    /// Rule 3.
+    /// Rule 3: time after the notice of a drain in which sends must end.
     #[serde(default = "drain_grace")]
     pub drain_grace: Span,
-    /// Rule 5.
+    /// Rule 5: time to wait before a call is sent again.
     #[serde(default = "release")]
     pub release: Span,
-    /// The troubles.
+    /// The scripted troubles.
     #[serde(default)]
     pub troubles: Vec<Trouble>,
 }
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", rename = "server")]
 pub struct ServerDay {
-    /// Calls a second that its processor can carry.
+    /// Calls per second that its processor can process.
     pub capacity: Rate,
     /// Its lines.
     #[serde(default = "many_lines")]
@@ -112,11 +112,11 @@
 pub struct ClassDay {
     /// Its name.
     pub name: String,
-    /// Its part of all calls, against the others'.
+    /// Its share of all calls, relative to the other classes.
     pub share: f64,
-    /// A call that stands within this time earns its full worth.
+    /// A call established within this time earns its full worth.
     pub aim: Span,
-    /// How long a caller goes on, from the first try.
+    /// Time from the first try at which a caller gives up.
     pub deadline: Span,
     /// Worth of a call.
     pub worth: f64,
@@ -127,19 +127,19 @@
     pub length: Span,
 }
 
-/// What callers do.
+/// Behaviour of callers.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct CallerDay {
     /// A try is given up after this share of the class's deadline.
     pub try_share: f64,
-    /// How often they dial again.
+    /// Maximum number of further tries.
     pub redials: u32,
-    /// Mean wait before that.
+    /// Mean wait before a further try.
     pub backoff: Span,
-    /// Share of callers that leave before the answer, somewhere in their first second.
+    /// Share of callers that leave within their first second, if not answered by then.
     pub impatient: f64,
-    /// Share of numbers whose first choice is the server of the present fashion, which shifts.
+    /// Share of calls to numbers of the currently popular server, which changes over time.
     pub drift: f64,
 }
 
@@ -149,33 +149,33 @@
     }
 }
 
-/// How processors work.
+/// Parameters of the servers' processors.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct ProcessorDay {
-    /// Wait beyond which set-ups are turned away.
+    /// Wait beyond which set-ups are refused.
     pub queue: Span,
-    /// Work of turning one away, as a share of a call's.
+    /// Work of refusing a set-up, as a share of a call's.
     pub reject: f64,
-    /// A set-up that waits is sent again after this; 0 for never.
+    /// A waiting set-up is sent again after this time; 0 for never.
     pub repeat: Span,
-    /// Answers and releases go ahead of set-ups.
+    /// Answers and releases are processed before set-ups.
     pub finish_first: bool,
-    /// A set-up that was given up is dropped.
+    /// Set-ups that were given up are removed from the queue.
     pub drops_given_up: bool,
-    /// Full processors tell how long to wait.
+    /// Refusals of a full processor state how long to wait.
     pub tells_wait: bool,
-    /// Answers tell the wait.
+    /// Answers report the processor's wait.
     pub reports_wait: bool,
-    /// Answers tell the lines.
+    /// Answers report the free lines.
     pub reports_lines: bool,
-    /// Share of its capacity that a fresh process has; the nodes are told no more than this.
+    /// Share of its capacity that a new process has; the nodes are configured with this value.
     pub cold_from: f64,
-    /// How long it takes to warm up.
+    /// Time to warm up.
     pub cold_span: Span,
-    /// Rule 4: multiple of the present capacity ...
+    /// Rule 4: multiple of the current capacity beyond which a cold server fails ...
     pub fall_multiple: f64,
-    /// ... over this long.
+    /// ... over this span.
     pub fall_span: Span,
 }
 
@@ -198,13 +198,13 @@
     }
 }
 
-/// How the list behaves.
+/// Delays of the server list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct ListDay {
-    /// How late it tells.
+    /// Delay of changes.
     pub delay: Span,
-    /// How far the nodes are apart in hearing it.
+    /// Range of the additional random delay of each node.
     pub spread: Span,
 }
 
@@ -220,33 +220,33 @@
 pub struct CircuitDay {
     /// Circuits of each group.
     pub size: u32,
-    /// Circuits that servers believe in, where that differs.
+    /// Number of circuits configured at servers, if it differs.
     #[serde(default)]
     pub far_size: Option<u32>,
-    /// Calls a second that each server sets up toward each node.
+    /// Calls per second that each server sets up toward each node.
     #[serde(default)]
     pub far_rate: Option<Rate>,
     /// Their mean length.
     #[serde(default = "two_seconds")]
     pub far_length: Span,
-    /// Share of a node's seizures that the server meets with one of its own on the same circuit.
+    /// Share of a node's seizures for which the server seizes the same circuit at the same time.
     #[serde(default)]
     pub meets: f64,
 }
 
-/// How the nodes' certificates come about.
+/// Parameters of the nodes' certificates.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct CertificateDay {
-    /// How long they last. Certificates tell whole seconds.
+    /// Lifetime; certificates carry whole seconds.
     pub lifetime: Span,
-    /// Share of that after which they are renewed.
+    /// Share of the lifetime after which they are renewed.
     pub renew_at: f64,
-    /// How names are proven: http-01 or tls-alpn-01.
+    /// Challenge type: http-01 or tls-alpn-01.
     pub challenge: String,
     /// Share of requests whose nonce the authority refuses.
     pub bad_nonces: f64,
-    /// How often a witness looks at each node's certificate in a handshake of its own.
+    /// Interval at which a witness makes a handshake with each node to record its certificate.
     pub witness: Span,
 }
 
@@ -270,66 +270,68 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TroubleKind {
-    /// Calls jump to `size` times the usual.
+    /// The rate of calls rises to `size` times the usual.
     Surge,
-    /// Processes die: connections are reset, calls cut; they come back cold at the end.
+    /// Processes are killed: connections are reset and calls cut. The servers restart cold at the end.
     Crash,
-    /// Processors take set-ups and answer none; watchdogs are answered.
+    /// Processors accept set-ups but answer none; watchdogs are answered.
     Hang,
-    /// Nothing is answered at all, watchdogs included; connections stay.
+    /// Nothing is answered, watchdogs included; connections stay open.
     SilentWatchdog,
     /// Processors run `size` times slower.
     Slow,
-    /// Processors grow slower up to `size` times.
+    /// Processors become gradually slower, up to `size` times.
     Ageing,
-    /// Servers are replaced one after another: drained by the list, stopped, a cold one in their place.
+    /// Servers are replaced one after another: drained by the list, stopped, and replaced by a cold server.
     Drain,
-    /// Servers end their connections with a DPR and come back at the end as the same process.
+    /// Servers close their connections with a Disconnect-Peer-Request (DPR); the processes keep running and
+    /// the connections are opened again.
     Dpr,
-    /// A share `size` of the standing calls is cut and comes again.
+    /// A share `size` of the standing calls is cut, and their callers try again.
     Cut,
     /// Servers keep a share `size` of their lines; calls on the lost ones are cut.
     Lines,
-    /// The list tells `size` seconds later still.
+    /// The list's delay grows by `size` seconds.
     ListLag,
-    /// The list's feed is gone.
+    /// The list's feeds are closed and refused.
     ListGone,
     /// Messages between servers and one node (`node`) are lost.
     DeadLink,
-    /// A node (`node`) gets no turn for `size` seconds, again and again until the end, with pauses of random
-    /// lengths (`pause` on average) between.
+    /// A node (`node`) is stalled for `size` seconds, repeatedly until the end, with pauses of random length
+    /// (`pause` on average).
     Stall,
-    /// The certificate authority is not reached.
+    /// The certificate authority is unreachable.
     AuthorityAway,
-    /// The certificate authority refuses once at each step from the order to the download, half of them for good.
+    /// The certificate authority refuses once at each step from the order to the download, at every other
+    /// step permanently.
     AuthorityRefuses,
-    /// Every front-end ends its connections in order and comes back at once, at moments of its own until the end.
+    /// Every front-end closes its connection and dials again at once, each at a random time before the end.
     Rehandshake,
-    /// A server sends half a message and no more, until the end closes the connection.
+    /// A server sends half a message and nothing more; the connection is closed at the end.
     HalfFrame,
 }
 
-/// A trouble with its moment.
+/// A scheduled trouble.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", rename = "trouble")]
 pub struct Trouble {
-    /// What it is.
+    /// Kind of the trouble.
     pub kind: TroubleKind,
-    /// When it begins, from the first arrival on.
+    /// Start, from the beginning of arrivals.
     pub at: Span,
-    /// How long it lasts.
+    /// Duration.
     #[serde(rename = "for")]
     pub length: Span,
-    /// How much; see the kinds.
+    /// Size; see the kinds for its meaning.
     #[serde(default = "one")]
     pub size: f64,
-    /// Which servers, by their number in the script; none stands for all.
+    /// Servers affected, by their number in the script; empty for all.
     #[serde(default)]
     pub on: Vec<u16>,
-    /// Which node.
+    /// Node affected.
     #[serde(default)]
     pub node: u16,
-    /// For stalls: the mean pause between one's end and the next.
+    /// Mean pause between the end of a stall and the next one.
     #[serde(default = "half_a_second")]
     pub pause: Span,
 }
@@ -343,10 +345,10 @@
 }
 
 impl Trouble {
-    /// The mean pause between stalls where a script tells none.
+    /// Mean pause between stalls if the script gives none.
     pub const PAUSE: Span = Span(500_000);
 
-    /// One line for tables.
+    /// Returns a one-line description for tables.
     pub fn text(&self) -> String {
         let name = match self.kind {
             TroubleKind::Surge => "surge",
@@ -380,18 +382,18 @@
     ///
     /// # Errors
     ///
-    /// The first mistake, with its place.
+    /// Returns the first mistake, with its position.
     pub fn read(text: &str) -> Result<Day, Error> {
         let day: Day = from_str(text)?;
         day.check()?;
         Ok(day)
     }
 
-    /// Whether its figures fit together.
+    /// Checks that the figures are valid and consistent.
     ///
     /// # Errors
     ///
-    /// The first that does not.
+    /// Returns the first mistake.
     pub fn check(&self) -> Result<(), Error> {
         let bad = |path: String, message: &str| Err(Error { place: None, path, message: message.to_owned() });
         if self.nodes == 0 || self.nodes > 64 {
@@ -413,8 +415,8 @@
         }
         if let Some(certificates) = &self.certificates {
             if certificates.lifetime.0 < 4_000_000 || !(0.1..0.9).contains(&certificates.renew_at) {
-                let told = "expected a lifetime of 4s at least and renewal between 0.1 and 0.9 of it";
-                return bad("certificates".to_owned(), told);
+                let error = "expected a lifetime of 4s at least and renewal between 0.1 and 0.9 of it";
+                return bad("certificates".to_owned(), error);
             }
             if !["http-01", "tls-alpn-01"].contains(&certificates.challenge.as_str()) {
                 return bad("certificates.challenge".to_owned(), "expected http-01 or tls-alpn-01");
@@ -434,7 +436,7 @@
         Ok(())
     }
 
-    /// Makes calls arrive for another span; troubles come again every time the old one is over.
+    /// Changes the time in which calls arrive; the troubles repeat with the period of the original length.
     pub fn lengthen(&mut self, length: Span) {
         let (old, troubles) = (self.length.0.max(1), self.troubles.clone());
         self.length = length;
@@ -450,12 +452,12 @@
             .collect();
     }
 
-    /// What the numbers of a class begin with.
+    /// Returns the prefix of the numbers of a class.
     pub fn prefix(class: usize) -> String {
         format!("351{}", class + 1)
     }
 
-    /// A number of a class whose first choice is a place.
+    /// Returns a number of a class that is planned for a place.
     pub fn number(class: usize, place: usize, line: u32) -> String {
         format!("{}{place:03}{line:06}", Day::prefix(class))
     }
@@ -471,12 +473,12 @@
     ("renewals-short", include_str!("../days/renewals-short.lisp")),
 ];
 
-/// The names of the days that are built in; the first is the default.
+/// Returns the names of the built-in days; the first is the default.
 pub fn builtin_names() -> impl Iterator<Item = &'static str> {
     BUILTIN.iter().map(|(name, _)| *name)
 }
 
-/// A day that is built in.
+/// Returns a built-in day by name.
 pub fn builtin(name: &str) -> Option<Day> {
     let (_, text) = BUILTIN.iter().find(|(known, _)| *known == name)?;
     Day::read(text).ok()
@@ -487,7 +489,7 @@
     use super::*;
 
     #[test]
-    fn every_built_in_day_reads_under_its_own_name() {
+    fn built_in_days_parse_with_matching_names() {
         for (name, text) in BUILTIN {
             let day = Day::read(text).unwrap_or_else(|error| panic!("{}", error.in_file(name)));
             assert_eq!(day.name, *name);
@@ -495,9 +497,9 @@
     }
 
     #[test]
-    fn a_trouble_on_a_server_that_is_not_there_is_told() {
+    fn rejects_trouble_on_unknown_server() {
         let text = include_str!("../days/short.lisp").replace("(on 0)", "(on 9)");
-        let told = Day::read(&text).expect_err("a mistake").to_string();
-        assert!(told.contains("there is no server of that number"), "{told}");
+        let error = Day::read(&text).expect_err("a mistake").to_string();
+        assert!(error.contains("there is no server of that number"), "{error}");
     }
 }
--- a/crates/lemoncleat-lab/src/echo.rs
+++ b/crates/lemoncleat-lab/src/echo.rs
@@ -1,4 +1,4 @@
-//! A server that answers every set-up and release at once: what a node or relay is measured in front of.
+//! A server that answers every set-up and release immediately, for measuring a node or relay in front of it.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, TcpListener};
@@ -13,25 +13,25 @@
 };
 use lemoncleat_net::{Event, Mailbox, Net, ServerConfig};
 
-use crate::credentials::{HANDSHAKE, HANDSHAKES};
-use crate::server::MAX_MESSAGE;
+use crate::credentials::{HANDSHAKE_TIMEOUT, MAX_HANDSHAKES};
+use crate::server::MAX_MESSAGE_BYTES;
 
-/// A server on a thread of its own that answers at once.
+/// A server on its own thread that answers immediately.
 pub struct Echo {
     /// Its Origin-Host.
     pub host: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     mailbox: Mailbox<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
 impl Echo {
-    /// Starts one; with a configuration it speaks TLS.
+    /// Starts the server, with TLS if a configuration is given.
     ///
     /// # Errors
     ///
-    /// When no socket or thread is to be had.
+    /// Fails if no socket or thread can be created.
     pub fn spawn(host: &str, tls: Option<Arc<ServerConfig>>) -> std::io::Result<Echo> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -41,7 +41,7 @@
             lemoncleat_net::run(async |mut net: Net<()>| {
                 let _ = sender.send(net.sender());
                 if let Some(config) = tls {
-                    net.listen_with_tls(0, config, HANDSHAKES, HANDSHAKE);
+                    net.listen_with_tls(0, config, MAX_HANDSHAKES, HANDSHAKE_TIMEOUT);
                 }
                 if net.listen(listener, 0).is_ok() {
                     serve(net, &name).await;
@@ -52,7 +52,7 @@
         Ok(Echo { host: host.to_owned(), address, mailbox, thread })
     }
 
-    /// Ends it.
+    /// Stops the server.
     pub fn stop(self) {
         let _ = self.mailbox.send_blocking(());
         let _ = self.thread.join();
@@ -78,7 +78,7 @@
             match one {
                 Event::Message(()) => return,
                 Event::Accepted { conn, .. } => {
-                    conns.insert(conn, (None, FrameReader::new(MAX_MESSAGE)));
+                    conns.insert(conn, (None, FrameReader::new(MAX_MESSAGE_BYTES)));
                 }
                 Event::Closed { conn } => {
                     conns.remove(&conn);
--- a/crates/lemoncleat-lab/src/far.rs
+++ b/crates/lemoncleat-lab/src/far.rs
@@ -1,4 +1,5 @@
-//! The far end of a trunk group: a stand-in server's circuits toward one node, and its own calls on them.
+//! The far end of a trunk group: a stand-in server's circuits toward one node, and the calls that it sets up
+//! itself.
 
 use std::collections::BTreeMap;
 
@@ -15,21 +16,21 @@
 
 use crate::Micros;
 
-/// What the far end asks its server for.
+/// Actions that the far end requests from its server.
 pub(crate) enum FarOutput {
     Send(Vec<u8>),
-    /// A node's call is to be set up here: its session, and the request.
+    /// A node's call is to be set up at this server: call reference and request.
     SetUp(CallRef, Vec<u8>),
-    /// A call of the node is over.
-    Over(String),
-    /// A call of this end stands; it is hung up by the world.
-    Stands(CallRef),
-    /// A call of this end yielded and is to be tried again after a wait.
-    Again(CallRef, Micros),
+    /// A call from the node has ended: its session.
+    Ended(String),
+    /// A call from this end was established; the environment hangs it up.
+    Established(CallRef),
+    /// A call from this end retry_after_yield and is to be retried after a wait.
+    Retry(CallRef, Micros),
 }
 
-/// Own requests that wait for an answer.
-enum Sent {
+/// A request of this end that waits for an answer.
+enum Outstanding {
     Token(Token),
 }
 
@@ -37,17 +38,17 @@
     pub group: Group,
     node: u16,
     host: String,
-    sent: HopByHop<Sent>,
-    /// Requests of the node that wait for their answer.
+    sent: HopByHop<Outstanding>,
+    /// Requests from the node that are not yet answered.
     arriving: BTreeMap<Token, Vec<u8>>,
-    /// Sessions of calls of this end (true) and of the node's.
+    /// Sessions of calls, from this end (true) and from the node.
     sessions: BTreeMap<(bool, CallRef), String>,
     refs: BTreeMap<String, CallRef>,
     circuits: BTreeMap<CallRef, CircuitId>,
-    own: BTreeMap<CallRef, (Option<CircuitId>, u32)>,
+    own_calls: BTreeMap<CallRef, (Option<CircuitId>, u32)>,
     next: CallRef,
     rng: SmallRng,
-    /// Calls of this end that came to stand, and that ended.
+    /// Number of established calls from this end.
     pub stood: u64,
 }
 
@@ -57,7 +58,7 @@
             size,
             order: Order::OwnFirst,
             control: Control::by_identity(host, &format!("node-{node}.lab")),
-            // A day and what follows it are shorter than the usual waits.
+            // Shorter than the defaults, which exceed the length of a day.
             timers: Timers { release: 500_000, again: 500_000, seldom: 5_000_000, ..Timers::default() },
             audits: Some(Audits { round: 4_000_000, ..Audits::default() }),
         };
@@ -70,7 +71,7 @@
             sessions: BTreeMap::new(),
             refs: BTreeMap::new(),
             circuits: BTreeMap::new(),
-            own: BTreeMap::new(),
+            own_calls: BTreeMap::new(),
             next: 1,
             rng: SmallRng::seed_from_u64(seed),
             stood: 0,
@@ -81,18 +82,18 @@
         message.add_str(d::ORIGIN_HOST, &self.host).add_str(d::ORIGIN_REALM, "lab").build()
     }
 
-    /// Sets up a call of this end; on a circuit in particular, to meet the node there.
+    /// Sets up a call from this end. A given circuit produces a dual seizure with the node.
     pub fn call(&mut self, now: Micros, circuit: Option<CircuitId>, out: &mut Vec<FarOutput>) {
         let call = self.next;
         self.next += 1;
         let session = format!("{};{};{call}", self.host, self.node);
         self.sessions.insert((true, call), session);
-        self.own.insert(call, (None, 0));
+        self.own_calls.insert(call, (None, 0));
         self.seize(now, call, circuit, false, out);
     }
 
-    pub fn seize_again(&mut self, now: Micros, call: CallRef, out: &mut Vec<FarOutput>) {
-        if self.own.get(&call).is_some_and(|(circuit, _)| circuit.is_none()) {
+    pub fn retry_seizure(&mut self, now: Micros, call: CallRef, out: &mut Vec<FarOutput>) {
+        if self.own_calls.get(&call).is_some_and(|(circuit, _)| circuit.is_none()) {
             self.seize(now, call, None, true, out);
         }
     }
@@ -112,30 +113,30 @@
         };
         match chosen {
             Some(circuit) => {
-                self.own.entry(call).and_modify(|known| known.0 = Some(circuit)).or_insert((None, 0))
+                self.own_calls.entry(call).and_modify(|known| known.0 = Some(circuit)).or_insert((None, 0))
             }
             None => {
-                self.own.remove(&call);
+                self.own_calls.remove(&call);
                 return;
             }
         };
         self.carry_out(now, events, out);
     }
 
-    /// A call of this end is over.
+    /// Ends a call from this end.
     pub fn hang_up(&mut self, now: Micros, call: CallRef, out: &mut Vec<FarOutput>) {
-        let Some((Some(circuit), _)) = self.own.remove(&call) else { return };
+        let Some((Some(circuit), _)) = self.own_calls.remove(&call) else { return };
         let mut events = Vec::new();
         self.group.release(now, circuit, &mut events);
         self.carry_out(now, events, out);
     }
 
-    /// Whether a message is about circuits; then it is dealt with here.
+    /// Handles a message about circuits. Returns `false` if the message is about something else.
     pub fn message(&mut self, now: Micros, message: &MessageRef<'_>, out: &mut Vec<FarOutput>) -> bool {
         let head = message.header;
         let mut events = Vec::new();
         if !head.is_request() {
-            let Some(Sent::Token(token)) = self.sent.finish(head.hop_by_hop) else { return false };
+            let Some(Outstanding::Token(token)) = self.sent.finish(head.hop_by_hop) else { return false };
             let reply = match head.command {
                 d::CMD_AA => wire::seizure_reply(message),
                 _ => wire::read_supervision_answer(message),
@@ -156,9 +157,12 @@
                 (head.hop_by_hop, Request::Seize { circuit, call })
             }
             (d::CMD_SESSION_TERMINATION, Some(circuit)) => {
-                let own =
-                    self.sessions.iter().find(|((own, _), name)| *own && **name == session).map(|(k, _)| k.1);
-                let (call, outgoing) = match own {
+                let own_calls = self
+                    .sessions
+                    .iter()
+                    .find(|((own_calls, _), name)| *own_calls && **name == session)
+                    .map(|(k, _)| k.1);
+                let (call, outgoing) = match own_calls {
                     Some(call) => (call, false),
                     None => (self.refs.get(&session).copied().unwrap_or(u64::MAX), true),
                 };
@@ -184,14 +188,14 @@
         events.iter().any(|event| matches!(event, Event::Reply(_, Reply::Accepted)))
     }
 
-    /// A node's call is refused for its own sake; the answer is the server's to write.
+    /// Releases the circuit of a refused call from a node; the server sends the answer.
     pub fn refused(&mut self, now: Micros, call: CallRef) {
         if let Some(circuit) = self.circuits.remove(&call) {
             self.group.release(now, circuit, &mut Vec::new());
         }
     }
 
-    /// Ends a node's call from this end.
+    /// Ends a call from the node.
     pub fn cut(&mut self, now: Micros, session: &str, out: &mut Vec<FarOutput>) {
         let Some(call) = self.refs.remove(session) else { return };
         if let Some(circuit) = self.circuits.remove(&call) {
@@ -209,10 +213,10 @@
         }
     }
 
-    /// A connection is open; after a restart of either end the group begins anew.
-    pub fn open(&mut self, now: Micros, anew: bool, out: &mut Vec<FarOutput>) {
+    /// Handles a new connection. After a restart of either end the group is reset.
+    pub fn open(&mut self, now: Micros, restarted: bool, out: &mut Vec<FarOutput>) {
         let mut events = Vec::new();
-        if anew {
+        if restarted {
             self.group.restart(now, &mut events);
         } else {
             self.group.reconnected(now, &mut events);
@@ -251,15 +255,15 @@
                 }
                 Event::Stands(_, call) => {
                     self.stood += 1;
-                    out.push(FarOutput::Stands(call));
+                    out.push(FarOutput::Established(call));
                 }
-                Event::Yielded(_, call) => self.yielded(now, call, out),
+                Event::Yielded(_, call) => self.retry_after_yield(now, call, out),
                 Event::Refused(_, call, Refusal::Call) | Event::Lost(_, call) => {
-                    self.own.remove(&call);
+                    self.own_calls.remove(&call);
                 }
-                Event::Refused(_, call, _) => self.yielded(now, call, out),
+                Event::Refused(_, call, _) => self.retry_after_yield(now, call, out),
                 Event::Ended(_, call, true) | Event::Cut(_, call, true) => {
-                    self.own.remove(&call);
+                    self.own_calls.remove(&call);
                 }
                 Event::Ended(_, call, false) | Event::Cut(_, call, false) => {
                     self.circuits.remove(&call);
@@ -267,7 +271,7 @@
                         if self.refs.get(&session) == Some(&call) {
                             self.refs.remove(&session);
                         }
-                        out.push(FarOutput::Over(session));
+                        out.push(FarOutput::Ended(session));
                     }
                 }
                 Event::Dispute(_) | Event::Mended(..) => {}
@@ -275,21 +279,21 @@
         }
     }
 
-    fn yielded(&mut self, now: Micros, call: CallRef, out: &mut Vec<FarOutput>) {
-        let Some(known) = self.own.get_mut(&call) else { return };
+    fn retry_after_yield(&mut self, now: Micros, call: CallRef, out: &mut Vec<FarOutput>) {
+        let Some(known) = self.own_calls.get_mut(&call) else { return };
         known.0 = None;
         known.1 += 1;
         match after_yield(known.1, 1_000_000, Repeats::default(), &mut self.rng) {
             Next::Again => self.seize(now, call, None, false, out),
-            Next::Away(wait) => out.push(FarOutput::Again(call, wait)),
+            Next::Away(wait) => out.push(FarOutput::Retry(call, wait)),
             Next::GiveUp => {
-                self.own.remove(&call);
+                self.own_calls.remove(&call);
             }
         }
     }
 
     fn transmit(&mut self, token: Token, request: &Request, out: &mut Vec<FarOutput>) {
-        let hop_by_hop = self.sent.begin(Sent::Token(token));
+        let hop_by_hop = self.sent.begin(Outstanding::Token(token));
         let node = format!("node-{}.lab", self.node);
         let message = match request {
             Request::Seize { circuit, call } => {
@@ -321,16 +325,16 @@
         out.push(FarOutput::Send(self.sign(message)));
     }
 
-    /// All calls of this end are over.
+    /// Ends all calls from this end.
     pub fn hang_up_all(&mut self, now: Micros, out: &mut Vec<FarOutput>) {
-        let mut calls: Vec<CallRef> = self.own.keys().copied().collect();
+        let mut calls: Vec<CallRef> = self.own_calls.keys().copied().collect();
         calls.sort_unstable();
         for call in calls {
             self.hang_up(now, call, out);
         }
     }
 
-    /// Circuits that are not idle, with their states.
+    /// Returns the circuits that are not idle, with their states.
     pub fn busy(&self) -> Vec<(CircuitId, State)> {
         let all = (0..self.group.settings().size).filter_map(|at| Some((at, self.group.state(at)?)));
         all.filter(|(_, state)| *state != State::Idle).collect()
--- a/crates/lemoncleat-lab/src/glare.rs
+++ b/crates/lemoncleat-lab/src/glare.rs
@@ -1,5 +1,6 @@
-//! Two ends of a trunk group under a virtual clock, both seizing, over a link that delays and loses messages:
-//! what dual seizure costs by selection order and load, and whether every circuit is found again.
+//! Simulates two ends of a trunk group under a virtual clock, both seizing, over a link that delays and loses
+//! messages. It measures the cost of dual seizure by selection sequence and load, and whether every circuit
+//! is recovered.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -14,36 +15,36 @@
 
 use crate::Micros;
 
-/// One run.
+/// Parameters of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GlareRun {
-    /// Circuits that each end believes in.
+    /// Number of circuits configured at each end.
     pub sizes: [u32; 2],
-    /// How each end chooses.
+    /// Selection sequence of each end.
     pub orders: [Order; 2],
-    /// Which circuits each end believes that it controls.
+    /// Circuits that each end takes itself to control.
     pub controls: [Control; 2],
-    /// Calls that each end has under way on average (erlangs).
+    /// Mean number of concurrent calls of each end (erlangs).
     pub load: f64,
     /// Mean length of a call.
     pub length: Micros,
-    /// How long calls arrive.
+    /// Time in which calls arrive.
     pub duration: Micros,
-    /// How long a message takes one way.
+    /// One-way delay of a message.
     pub delay: Micros,
     /// Share of messages that are lost.
     pub loss: f64,
-    /// Both ends seize at the same instants.
+    /// Both ends seize at the same times.
     pub in_step: bool,
-    /// Moments at which an end forgets everything, as a process that starts anew without a word.
+    /// Times at which an end loses its state, as a process that restarts without notice.
     pub restarts: Vec<(Micros, usize)>,
-    /// The end that restarted resets its circuits, as it should.
+    /// Whether a restarted end resets its circuits, as it should.
     pub resets_after_restart: bool,
     /// Audits of both ends.
     pub audits: Option<Audits>,
-    /// How calls that yielded are tried again.
+    /// Retries of calls that retry_after_yield.
     pub repeats: Repeats,
-    /// Seed of all that is random.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -68,39 +69,39 @@
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct GlareResult {
     /// Calls of both ends.
     pub calls: u64,
-    /// Calls that came to stand.
+    /// Calls that were established.
     pub stood: u64,
-    /// Dual seizures that a call yielded to.
+    /// Dual seizures in which a call retry_after_yield.
     pub yields: u64,
-    /// Calls given up after yielding too often.
+    /// Calls given up after they retry_after_yield too often.
     pub lost_to_glare: u64,
-    /// Calls that found no idle circuit at first.
+    /// Calls that found no idle circuit.
     pub full: u64,
-    /// Calls that were lost for another reason: no reply, a reset, a refusal.
+    /// Calls lost for another reason: no reply, a reset, a refusal.
     pub lost_otherwise: u64,
-    /// Moments at which a circuit was used by two calls.
+    /// Times at which a circuit was used by two calls.
     pub shared: u64,
-    /// Calls with more outcomes than one, or none at the end.
+    /// Calls with more than one outcome, or with none at the end.
     pub miscounted: u64,
-    /// Circuits about which the ends did not agree at the end.
+    /// Circuits on whose state the ends did not agree at the end.
     pub apart: u64,
-    /// Circuits that an audit mended.
+    /// Circuits that an audit corrected.
     pub mended: u64,
-    /// Times that the ends disagreed about control.
+    /// Number of times that the ends disagreed about control.
     pub disputes: u64,
-    /// Questions of audits.
+    /// Queries sent by audits.
     pub questions: u64,
-    /// How long it took after the last fault or call until both ends agreed.
+    /// Time from the last fault or call until both ends agreed.
     pub agreed_after: Micros,
 }
 
 impl GlareResult {
-    /// Whether no circuit was lost or shared and every call was answered once.
+    /// Returns whether no circuit was lost or shared and every call was answered once.
     pub fn sound(&self) -> bool {
         self.shared + self.miscounted + self.apart == 0
     }
@@ -113,7 +114,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Happening {
+enum SimEvent {
     Arrival(usize),
     Deliver(usize, u64),
     HangUp(usize, CallRef),
@@ -134,17 +135,17 @@
 struct Sim {
     run: GlareRun,
     now: Micros,
-    order: u64,
+    sequence: u64,
     due: BinaryHeap<Reverse<(Micros, u64)>>,
-    happenings: BTreeMap<u64, Happening>,
+    pending_events: BTreeMap<u64, SimEvent>,
     ends: [Group; 2],
-    /// Messages on their way to each end, in order; a connection keeps order and loses from its end.
+    /// Messages in transit to each end, in sequence.
     links: [VecDeque<(u64, Packet)>; 2],
     last_arrival: [Micros; 2],
     lossy: bool,
     calls: [BTreeMap<CallRef, Call>; 2],
     next_call: CallRef,
-    lives: u64,
+    restart_count: u64,
     rng: SmallRng,
     result: GlareResult,
 }
@@ -160,49 +161,50 @@
     Group::new(settings, now, seed)
 }
 
-/// Plays a run to its end.
+/// Performs a run.
 pub fn glare_run(run: &GlareRun) -> GlareResult {
     let mut sim = Sim {
         now: 0,
-        order: 0,
+        sequence: 0,
         due: BinaryHeap::new(),
-        happenings: BTreeMap::new(),
+        pending_events: BTreeMap::new(),
         ends: [group(run, 0, 0, run.seed * 2), group(run, 1, 0, run.seed * 2 + 1)],
         links: [VecDeque::new(), VecDeque::new()],
         last_arrival: [0; 2],
         lossy: true,
         calls: [BTreeMap::new(), BTreeMap::new()],
         next_call: 1,
-        lives: 0,
+        restart_count: 0,
         rng: SmallRng::seed_from_u64(run.seed),
         result: GlareResult::default(),
         run: run.clone(),
     };
-    sim.play();
+    sim.run_to_end();
     sim.result
 }
 
 impl Sim {
-    fn at(&mut self, at: Micros, happening: Happening) {
-        self.order += 1;
-        self.due.push(Reverse((at.max(self.now), self.order)));
-        self.happenings.insert(self.order, happening);
+    fn schedule(&mut self, at: Micros, event: SimEvent) {
+        self.sequence += 1;
+        self.due.push(Reverse((at.max(self.now), self.sequence)));
+        self.pending_events.insert(self.sequence, event);
     }
 
-    fn play(&mut self) {
-        self.at(0, Happening::Arrival(0));
+    fn run_to_end(&mut self) {
+        self.schedule(0, SimEvent::Arrival(0));
         if !self.run.in_step {
-            self.at(0, Happening::Arrival(1));
+            self.schedule(0, SimEvent::Arrival(1));
         }
         for (at, end) in self.run.restarts.clone() {
-            self.at(at, Happening::Restart(end));
+            self.schedule(at, SimEvent::Restart(end));
         }
         for end in 0..2 {
-            self.wake(end);
+            self.schedule_timer(end);
         }
         let last = self.run.restarts.iter().map(|(at, _)| *at).max().unwrap_or(0).max(self.run.duration);
-        self.until(last);
-        // Callers hang up, the link loses nothing more: how long until both ends agree?
+        self.run_until(last);
+        // All calls are hung up and the link no longer loses messages: measure the time until both ends
+        // agree.
         self.lossy = false;
         let standing: Vec<(usize, CallRef)> =
             (0..2).flat_map(|end| self.calls[end].keys().map(move |call| (end, *call))).collect();
@@ -213,7 +215,7 @@
         let limit = from + 600_000_000;
         while self.now < limit && !self.agreed() {
             let next = self.now + 50_000;
-            self.until(next);
+            self.run_until(next);
         }
         self.result.agreed_after = self.now - from;
         let common = self.run.sizes[0].min(self.run.sizes[1]);
@@ -231,21 +233,22 @@
         self.ends.iter().all(idle) && self.links.iter().all(VecDeque::is_empty)
     }
 
-    fn until(&mut self, end: Micros) {
-        while let Some(Reverse((at, order))) = self.due.peek().copied().filter(|Reverse((at, _))| *at <= end)
+    fn run_until(&mut self, end: Micros) {
+        while let Some(Reverse((at, sequence))) =
+            self.due.peek().copied().filter(|Reverse((at, _))| *at <= end)
         {
             self.due.pop();
             self.now = at;
-            if let Some(happening) = self.happenings.remove(&order) {
-                self.happen(happening);
+            if let Some(event) = self.pending_events.remove(&sequence) {
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Arrival(end) => {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Arrival(end) => {
                 if self.now >= self.run.duration {
                     return;
                 }
@@ -255,9 +258,9 @@
                 }
                 let rate = self.run.load / self.run.length as f64;
                 let gap = -self.rng.random::<f64>().max(1e-12).ln() / rate;
-                self.at(self.now + gap as Micros, Happening::Arrival(end));
+                self.schedule(self.now + gap as Micros, SimEvent::Arrival(end));
             }
-            Happening::Deliver(to, id) => {
+            SimEvent::Deliver(to, id) => {
                 let Some(place) = self.links[to].iter().position(|(known, _)| *known == id) else { return };
                 let Some((_, packet)) = self.links[to].remove(place) else { return };
                 let mut out = Vec::new();
@@ -269,10 +272,10 @@
                 }
                 self.perform(to, out);
             }
-            Happening::HangUp(end, call) => self.hang_up(end, call),
-            Happening::Again(end, call, away) => self.seize(end, call, away),
-            Happening::Restart(end) => self.restart(end),
-            Happening::Timer(end) => {
+            SimEvent::HangUp(end, call) => self.hang_up(end, call),
+            SimEvent::Again(end, call, away) => self.seize(end, call, away),
+            SimEvent::Restart(end) => self.restart(end),
+            SimEvent::Timer(end) => {
                 if self.ends[end].due().is_some_and(|due| due <= self.now) {
                     let mut out = Vec::new();
                     self.ends[end].timeout(self.now, &mut out);
@@ -282,9 +285,9 @@
         }
     }
 
-    fn wake(&mut self, end: usize) {
+    fn schedule_timer(&mut self, end: usize) {
         if let Some(due) = self.ends[end].due() {
-            self.at(due, Happening::Timer(end));
+            self.schedule(due, SimEvent::Timer(end));
         }
     }
 
@@ -327,7 +330,7 @@
         let Some(known) = self.calls[end].get(&call) else { return };
         let (circuit, stands) = (known.circuit, known.stands);
         if !stands {
-            self.outcome(end, call); // Given up while it was being set up.
+            self.outcome(end, call); // The call was given up during set-up.
             self.result.lost_otherwise += 1;
         }
         self.calls[end].remove(&call);
@@ -345,9 +348,9 @@
     }
 
     fn restart(&mut self, end: usize) {
-        self.lives += 1;
-        self.ends[end] = group(&self.run, end, self.now, self.run.seed ^ (self.lives << 32));
-        // Its own calls are gone with it; whoever made them will try again elsewhere.
+        self.restart_count += 1;
+        self.ends[end] = group(&self.run, end, self.now, self.run.seed ^ (self.restart_count << 32));
+        // The end's own calls are lost; their callers try again elsewhere.
         self.calls[end].clear();
         let mut out = Vec::new();
         if self.run.resets_after_restart {
@@ -364,10 +367,10 @@
         let jitter = self.rng.random_range(0..=self.run.delay / 4);
         let arrives = (self.now + self.run.delay + jitter).max(self.last_arrival[to]);
         self.last_arrival[to] = arrives;
-        self.order += 1;
-        let id = self.order;
+        self.sequence += 1;
+        let id = self.sequence;
         self.links[to].push_back((id, packet));
-        self.at(arrives, Happening::Deliver(to, id));
+        self.schedule(arrives, SimEvent::Deliver(to, id));
     }
 
     fn perform(&mut self, end: usize, events: Vec<Event>) {
@@ -381,7 +384,7 @@
                 Event::Offered(circuit, _) => {
                     let mut out = Vec::new();
                     self.ends[end].accept(circuit, &mut out);
-                    self.check(circuit);
+                    self.check_not_shared(circuit);
                     self.perform(end, out);
                 }
                 Event::Stands(circuit, call) => {
@@ -392,24 +395,24 @@
                     if let Some(known) = self.calls[end].get_mut(&call) {
                         (known.stands, known.ends) = (true, self.now + length);
                     }
-                    self.check(circuit);
-                    self.at(self.now + length, Happening::HangUp(end, call));
+                    self.check_not_shared(circuit);
+                    self.schedule(self.now + length, SimEvent::HangUp(end, call));
                 }
-                Event::Yielded(_, call) => self.yielded(end, call),
+                Event::Yielded(_, call) => self.retry_after_yield(end, call),
                 Event::Refused(_, call, _) => {
-                    // Another circuit may do; a group of which each refuses ends by being empty.
+                    // Another circuit may accept the call. If every circuit refuses, none is left to select.
                     if let Some(known) = self.calls[end].get_mut(&call) {
                         known.circuit = None;
                     }
-                    self.at(self.now + 1_000, Happening::Again(end, call, false));
+                    self.schedule(self.now + 1_000, SimEvent::Again(end, call, false));
                 }
-                Event::Lost(_, call) => self.lost(end, call),
+                Event::Lost(_, call) => self.count_lost(end, call),
                 Event::Ended(_, call, true) | Event::Cut(_, call, true) => {
                     let stands = self.calls[end].get(&call).is_some_and(|known| known.stands);
                     if stands {
                         self.calls[end].remove(&call);
                     } else {
-                        self.lost(end, call);
+                        self.count_lost(end, call);
                     }
                 }
                 Event::Ended(..) | Event::Cut(..) => {}
@@ -417,10 +420,10 @@
                 Event::Mended(..) => self.result.mended += 1,
             }
         }
-        self.wake(end);
+        self.schedule_timer(end);
     }
 
-    fn lost(&mut self, end: usize, call: CallRef) {
+    fn count_lost(&mut self, end: usize, call: CallRef) {
         if self.calls[end].contains_key(&call) {
             self.outcome(end, call);
             self.calls[end].remove(&call);
@@ -428,14 +431,14 @@
         }
     }
 
-    fn yielded(&mut self, end: usize, call: CallRef) {
+    fn retry_after_yield(&mut self, end: usize, call: CallRef) {
         self.result.yields += 1;
         let Some(known) = self.calls[end].get_mut(&call) else { return };
         known.circuit = None;
         known.yields += 1;
         match after_yield(known.yields, 1_000_000, self.run.repeats, &mut self.rng) {
-            Next::Again => self.at(self.now, Happening::Again(end, call, false)),
-            Next::Away(wait) => self.at(self.now + wait, Happening::Again(end, call, true)),
+            Next::Again => self.schedule(self.now, SimEvent::Again(end, call, false)),
+            Next::Away(wait) => self.schedule(self.now + wait, SimEvent::Again(end, call, true)),
             Next::GiveUp => {
                 self.outcome(end, call);
                 self.calls[end].remove(&call);
@@ -444,8 +447,8 @@
         }
     }
 
-    /// A circuit never carries two calls at once.
-    fn check(&mut self, circuit: CircuitId) {
+    /// Counts a circuit that carries two calls at once.
+    fn check_not_shared(&mut self, circuit: CircuitId) {
         let states = [self.ends[0].state(circuit), self.ends[1].state(circuit)];
         let shared = match states {
             [Some(State::Outgoing(_)), Some(State::Outgoing(_))] => true,
--- a/crates/lemoncleat-lab/src/judge.rs
+++ b/crates/lemoncleat-lab/src/judge.rs
@@ -1,5 +1,5 @@
-//! The judge: works the five rules and the service out of a capture. It shares nothing with the node but the
-//! byte codec, so that one mistake can't hide in both.
+//! The judge: checks the five rules and computes the service from a capture. It shares only the byte codec
+//! with the node, so that the same mistake can't hide in both.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::fmt;
@@ -17,22 +17,22 @@
 pub enum Rule {
     /// Exactly one final answer before the caller's deadline, and nothing after it.
     OneAnswer,
-    /// Never two attempts of a call out at once.
+    /// Never two attempts of a call outstanding at once.
     OneAttempt,
     /// No new work to a draining or gone server after the grace.
     Drains,
-    /// No cold server pushed over.
+    /// No cold server overloaded until it fails.
     ColdServers,
-    /// The release time is awaited before a call is sent again.
+    /// After an attempt without an answer the release time passes before the call is sent again.
     Release,
 }
 
 impl Rule {
-    /// All of them, in order.
+    /// All rules, in order.
     pub const ALL: [Rule; 5] =
         [Rule::OneAnswer, Rule::OneAttempt, Rule::Drains, Rule::ColdServers, Rule::Release];
 
-    /// Its number, from 1.
+    /// Returns the number of the rule, from 1.
     pub fn number(self) -> usize {
         self as usize + 1
     }
@@ -51,116 +51,117 @@
     }
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Violation {
-    /// When, in microseconds of the capture's clock.
+    /// Time of the violation, in microseconds of the capture's clock.
     pub at: Micros,
-    /// Which call or server.
+    /// Call or server concerned.
     pub what: String,
-    /// How.
+    /// How the rule was violated.
     pub how: String,
-    /// The records that show it, as numbers in the capture.
+    /// Numbers of the records in the capture that show it.
     pub records: Vec<usize>,
-    /// The same records in words.
+    /// The same records as text.
     pub frames: Vec<String>,
 }
 
-/// One rule's verdict.
+/// Result of one rule.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RuleVerdict {
-    /// Which.
+    /// The rule.
     pub rule: Rule,
-    /// How often it could have been broken.
+    /// Number of cases in which it could have been violated.
     pub cases: usize,
-    /// How often it was.
+    /// Number of violations.
     pub broken: usize,
-    /// The first time.
+    /// The first violation.
     pub first: Option<Violation>,
 }
 
-/// What happened to the rules while a trouble lasted, and for five seconds after it.
+/// Cases and violations of the rules during a trouble and the five seconds after it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct TroubleRow {
-    /// What it was.
+    /// Description of the trouble.
     pub text: String,
-    /// From when, in seconds from the first call.
+    /// Start, in seconds from the first call.
     pub from: f64,
-    /// Until when.
+    /// End, in seconds from the first call.
     pub to: f64,
     /// Cases of each rule.
     pub cases: [usize; 5],
-    /// Times that each was broken.
+    /// Violations of each rule.
     pub broken: [usize; 5],
-    /// Worth served over worth offered by callers whose first try came in that time.
+    /// Worth served over worth offered by callers whose first try was made during the trouble.
     pub service: Option<f64>,
 }
 
-/// Handshakes with nodes.
+/// Counts of TLS handshakes with nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Handshakes {
-    /// How many there were.
+    /// Number of completed handshakes.
     pub handshakes: usize,
-    /// Certificates that were seen in them, of all nodes together.
+    /// Number of distinct certificates presented, of all nodes together.
     pub certificates: usize,
-    /// Handshakes in which a certificate was shown that was not valid then.
+    /// Handshakes in which the presented certificate was not valid at that time.
     pub not_valid: usize,
-    /// Handshakes that came to nothing.
+    /// Handshakes that failed.
     pub refused: usize,
 }
 
-/// What a capture shows.
+/// Result of judging a capture.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Verdict {
     /// Name of the day.
     pub day: String,
-    /// Each rule.
+    /// Result of each rule.
     pub rules: Vec<RuleVerdict>,
-    /// Worth of calls that stood in time and were not cut, over the worth offered.
+    /// Worth of calls that were established in time and not cut, over the worth offered.
     pub service: f64,
-    /// The same by class.
+    /// The service by class.
     pub classes: Vec<(String, f64)>,
-    /// The same in each five seconds.
+    /// The service in each window of five seconds.
     pub windows: Vec<f64>,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
-    /// Requests of callers, tries all counted.
+    /// Number of callers' requests, every try counted.
     pub tries: usize,
-    /// Attempts at servers.
+    /// Number of attempts at servers.
     pub attempts: usize,
-    /// Tries that came to stand.
+    /// Tries that were established.
     pub stood: usize,
     /// Tries that were refused or failed.
     pub turned_away: usize,
     /// Standing calls that were cut.
     pub cut: usize,
-    /// Callers that left before their answer, so that rule 1 owes them none.
+    /// Callers that left before their answer; rule 1 requires no answer to them.
     pub left: usize,
-    /// Calls whose deadline fell into a stall that the script gave their node: not counted.
+    /// Calls whose deadline fell into a scripted stall of their node; not counted as violations.
     pub excused: usize,
-    /// Calls that came during one such stall and whose deadline, reckoned from its beginning, fell into another:
-    /// not counted either when they have no answer. One that is late counts as any other.
+    /// Calls that arrived during one such stall and whose deadline, counted from its start, fell into
+    /// another. They are not counted as violations if they have no answer; a late answer counts as usual.
     pub in_doubt: usize,
-    /// Handshakes with nodes, where there was TLS.
+    /// Handshakes with nodes, if TLS was used.
     pub handshakes: Option<Handshakes>,
-    /// Set-ups that succeeded after they were given up.
+    /// Set-ups that succeeded after the node had given them up.
     pub late: usize,
-    /// Servers that fell over.
+    /// Servers that failed from overload while cold.
     pub fallen: usize,
-    /// Time in which the stand-ins' own loop got no turn, in microseconds; moments are that much less sure.
+    /// Time in which the stand-ins' event loop was delayed, in microseconds; recorded times are uncertain by
+    /// as much.
     pub behind: Micros,
-    /// How often a circuit came to carry a call, and how often it carried one already.
+    /// Number of times a circuit was given a call, and how many of those times it already carried another.
     pub circuits: (usize, usize),
-    /// The first time that it did.
+    /// The first case of a circuit with two calls.
     pub circuit_shared: Option<Violation>,
-    /// Seizures that lost their circuit to the other end's.
+    /// Seizures that lost their circuit to a seizure by the other end.
     pub glares: usize,
-    /// Each trouble.
+    /// Results of each trouble.
     pub troubles: Vec<TroubleRow>,
 }
 
 impl Verdict {
-    /// Whether no rule was broken.
+    /// Returns whether no rule was violated, no circuit was shared and every certificate was valid.
     pub fn kept(&self) -> bool {
         let shown = self.handshakes.is_none_or(|handshakes| handshakes.not_valid == 0);
         self.rules.iter().all(|rule| rule.broken == 0) && self.circuits.1 == 0 && shown
@@ -173,45 +174,45 @@
     broken: Vec<Violation>,
 }
 
-/// One request of a caller, over all its transmissions.
+/// One request of a caller, with all its transmissions.
 struct Try {
     record: usize,
-    chain: usize,
+    history: usize,
     deadline: Micros,
-    /// The deadline as the node must reckon it, where the request came while the node had no turn by the script:
-    /// it can't know when in the stall that was, and goes by its beginning. Of stalls that follow one another at once
-    /// it may have had a turn in between or not: one for each beginning.
-    reckoned: Vec<Micros>,
-    /// When it was last asked for.
-    asked: Micros,
+    /// Deadlines as the node may count them if the request arrived during a scripted stall: the node can't
+    /// know when in the stall that was, and counts from the start of the stall. Between stalls that follow
+    /// one another directly it may or may not have run, so there is one deadline for each start.
+    stall_deadlines: Vec<Micros>,
+    /// Time of the last transmission.
+    last_sent: Micros,
     node: u16,
     end: End,
-    /// Connection and hop-by-hop identifier of each transmission, and whether it was answered.
+    /// Connection, hop-by-hop identifier and whether it was answered, for each transmission.
     sent: Vec<(u64, u32, bool)>,
     answer: Option<(Micros, u32)>,
     left: bool,
 }
 
-/// A caller, from its first try on.
-struct Chain {
+/// The tries of one caller.
+struct CallerHistory {
     class: usize,
     first: Micros,
-    /// When the clock of its aim began: at the first try, or when it came again after a cut.
-    clock: Micros,
+    /// Start of the time that counts toward the aim: the first try, or the first one after a cut.
+    aim_start: Micros,
     stood: Option<Micros>,
     cut: bool,
 }
 
 #[derive(Default)]
 struct Session {
-    /// The attempt that is out: server, connection, hop-by-hop identifier, record.
-    out: Option<(u16, u64, u32, usize)>,
-    /// An attempt ended without an answer, at this moment.
+    /// The outstanding attempt: server, connection, hop-by-hop identifier, record.
+    outstanding: Option<(u16, u64, u32, usize)>,
+    /// Time and record at which an attempt ended without an answer.
     unanswered: Option<(Micros, usize)>,
     stands: bool,
-    /// A server said so, at this moment and on this connection, and the client has not heard of it.
-    said: Option<(Micros, u64)>,
-    /// What it said may have been lost with its connection.
+    /// Time and connection of a server's success answer that has not yet reached the client.
+    confirmed: Option<(Micros, u64)>,
+    /// The success answer may have been lost with its connection.
     in_doubt: bool,
 }
 
@@ -230,27 +231,27 @@
     tries: Vec<Try>,
     by_request: HashMap<(String, u32), usize>,
     by_session: HashMap<String, usize>,
-    chains: Vec<Chain>,
+    histories: Vec<CallerHistory>,
     by_caller: HashMap<String, usize>,
     sessions: HashMap<String, Session>,
     conn_sessions: HashMap<u64, Vec<String>>,
-    /// When a node was told that a server takes nothing new.
-    told: HashMap<(u16, u16), Micros>,
+    /// Time at which a node was told that a server takes no new calls, by node and server.
+    drain_notices: HashMap<(u16, u16), Micros>,
     cold: HashMap<u16, Cold>,
     informed: HashMap<(u16, u16), Micros>,
-    /// Which session each circuit carries, by node, server and circuit.
-    carried: HashMap<(u16, u16, u32), String>,
-    /// Seizures that wait for their answer, by connection, hop-by-hop identifier and whether they go to the node.
+    /// Session that each circuit carries, by node, server and circuit.
+    circuit_sessions: HashMap<(u16, u16, u32), String>,
+    /// Unanswered seizures, by connection, hop-by-hop identifier and whether they go to the node.
     seizures: HashMap<(u64, u32, bool), (u32, String)>,
-    /// Resets of circuits: on which connection, by End-to-End Identifier.
+    /// Resets of circuits, by connection and End-to-End Identifier.
     resets: HashSet<(u64, u32)>,
     circuit_cases: usize,
     circuit_shared: Vec<Violation>,
     glares: usize,
     stalls: Vec<(u16, Micros, Micros)>,
     handshakes: Handshakes,
-    /// Certificates seen: of which node, from when to when.
-    seen: BTreeSet<(u16, i64, i64)>,
+    /// Certificates presented: node, start and end of validity.
+    certificates_seen: BTreeSet<(u16, i64, i64)>,
     behind: Vec<(Micros, Micros)>,
     troubles: BTreeMap<u16, (String, Micros, Option<Micros>)>,
     attempts: usize,
@@ -270,14 +271,14 @@
             tries: Vec::new(),
             by_request: HashMap::new(),
             by_session: HashMap::new(),
-            chains: Vec::new(),
+            histories: Vec::new(),
             by_caller: HashMap::new(),
             sessions: HashMap::new(),
             conn_sessions: HashMap::new(),
-            told: HashMap::new(),
+            drain_notices: HashMap::new(),
             cold: HashMap::new(),
             informed: HashMap::new(),
-            carried: HashMap::new(),
+            circuit_sessions: HashMap::new(),
             seizures: HashMap::new(),
             resets: HashSet::new(),
             circuit_cases: 0,
@@ -285,7 +286,7 @@
             glares: 0,
             stalls: Vec::new(),
             handshakes: Handshakes::default(),
-            seen: BTreeSet::new(),
+            certificates_seen: BTreeSet::new(),
             behind: Vec::new(),
             troubles: BTreeMap::new(),
             attempts: 0,
@@ -298,12 +299,12 @@
         }
     }
 
-    fn broken_so_far(&self) -> usize {
+    fn violation_count(&self) -> usize {
         self.tallies.iter().map(|tally| tally.broken.len()).sum::<usize>() + self.circuit_shared.len()
     }
 }
 
-/// A judge that is told each record as it comes, and says at which a rule is first broken.
+/// A judge that takes records as they are made and reports the record at which a rule is violated.
 pub struct LiveJudge {
     judge: Judge,
     number: usize,
@@ -311,18 +312,18 @@
 }
 
 impl LiveJudge {
-    /// A judge of a day with these facts.
+    /// Creates a judge for a day with these facts.
     pub fn new(facts: &Facts) -> LiveJudge {
         LiveJudge { judge: Judge::new(facts.clone()), number: 0, last: 0 }
     }
 
-    /// Takes a record in; what it breaks.
+    /// Processes a record and returns the violation that it shows, if any.
     pub fn take(&mut self, record: &Record) -> Option<(Option<Rule>, Violation)> {
-        let before = self.judge.broken_so_far();
+        let before = self.judge.violation_count();
         self.last = record.at().max(self.last);
         self.judge.record(self.number, record);
         self.number += 1;
-        if self.judge.broken_so_far() == before {
+        if self.judge.violation_count() == before {
             return None;
         }
         let newest = Rule::ALL.iter().filter_map(|rule| {
@@ -333,7 +334,7 @@
         newest.chain(shared).max_by_key(|(_, violation)| violation.records.last().copied())
     }
 
-    /// All that was seen, at the end.
+    /// Returns the verdict on all records processed.
     pub fn verdict(mut self) -> Verdict {
         if self.judge.end == Micros::MAX {
             self.judge.end = self.last;
@@ -342,7 +343,7 @@
     }
 }
 
-/// Judges a capture; `None` if it begins without its facts.
+/// Judges a capture. Returns `None` if its first record is not the facts.
 pub fn judge(capture: &Capture) -> Option<Verdict> {
     let Some(Record::Facts(facts)) = capture.records.first() else { return None };
     let mut judge = Judge::new(facts.clone());
@@ -363,11 +364,11 @@
 }
 
 impl Judge {
-    fn case(&mut self, rule: Rule, at: Micros) {
+    fn add_case(&mut self, rule: Rule, at: Micros) {
         self.tallies[rule as usize].cases.push(at);
     }
 
-    fn broken(&mut self, rule: Rule, at: Micros, what: &str, how: String, records: Vec<usize>) {
+    fn add_violation(&mut self, rule: Rule, at: Micros, what: &str, how: String, records: Vec<usize>) {
         let violation = Violation { at, what: what.to_owned(), how, records, frames: Vec::new() };
         self.tallies[rule as usize].broken.push(violation);
     }
@@ -384,22 +385,22 @@
                     }
                 }
             }
-            Record::Closed { at, end, conn } => self.closed(number, *at, *end, *conn),
+            Record::Closed { at, end, conn } => self.on_closed(number, *at, *end, *conn),
             Record::Listed { at, node, server, ready, started } => {
                 if *started {
                     self.informed.entry((*node, *server)).or_insert(*at);
                 }
                 if *ready {
-                    self.told.remove(&(*node, *server));
+                    self.drain_notices.remove(&(*node, *server));
                 } else if let std::collections::hash_map::Entry::Vacant(entry) =
-                    self.told.entry((*node, *server))
+                    self.drain_notices.entry((*node, *server))
                 {
                     entry.insert(*at);
-                    self.case(Rule::Drains, *at);
+                    self.add_case(Rule::Drains, *at);
                 }
             }
             Record::Started { at, server, capacity, from, span } => {
-                self.case(Rule::ColdServers, *at);
+                self.add_case(Rule::ColdServers, *at);
                 let (arrivals, broken) = (VecDeque::new(), false);
                 let cold = Cold { at: *at, capacity: *capacity, from: *from, span: *span, arrivals, broken };
                 self.cold.insert(*server, cold);
@@ -415,7 +416,7 @@
             }
             Record::Handshake { node, wall, validity, .. } => {
                 self.handshakes.handshakes += 1;
-                self.seen.insert((*node, validity.0, validity.1));
+                self.certificates_seen.insert((*node, validity.0, validity.1));
                 if *wall < validity.0 || *wall > validity.1 {
                     self.handshakes.not_valid += 1;
                 }
@@ -445,35 +446,43 @@
         }
         let session = message.text(d::SESSION_ID).unwrap_or_default();
         match (message.header.command, message.header.is_request(), to_node) {
-            (d::CMD_AA, true, true) => self.tried(number, at, end, node, conn, message),
-            (d::CMD_AA, false, false) => self.answered(number, at, conn, message),
+            (d::CMD_AA, true, true) => self.on_set_up_request(number, at, end, node, conn, message),
+            (d::CMD_AA, false, false) => self.on_set_up_answer(number, at, conn, message),
             (d::CMD_SESSION_TERMINATION, true, true) => {
                 if let Some(id) = self.by_session.get(session) {
                     let this = &mut self.tries[*id];
-                    // Whoever leaves after the deadline was owed an answer before it.
+                    // A caller that leaves after the deadline should have had an answer before it.
                     this.left |= this.answer.is_none() && at <= this.deadline;
                 }
             }
             (d::CMD_ABORT_SESSION, true, false) => {
                 if let Some(id) = self.by_session.get(session) {
-                    let chain = self.tries[*id].chain;
+                    let history = self.tries[*id].history;
                     self.cut += 1;
-                    self.chains[chain].cut = true;
+                    self.histories[history].cut = true;
                 }
             }
             _ => {}
         }
     }
 
-    fn tried(&mut self, number: usize, at: Micros, end: End, node: u16, conn: u64, message: &MessageRef<'_>) {
+    fn on_set_up_request(
+        &mut self,
+        number: usize,
+        at: Micros,
+        end: End,
+        node: u16,
+        conn: u64,
+        message: &MessageRef<'_>,
+    ) {
         let origin = message.text(d::ORIGIN_HOST).unwrap_or_default().to_owned();
         let key = (origin, message.header.end_to_end);
         if let Some(id) = self.by_request.get(&key) {
-            // The same request once more, as after a lost connection. One that comes at the very end is owed nothing
-            // that could still be in time.
+            // A retransmission, as after a lost connection. If it arrives just before the deadline, no answer
+            // could be in time, so none is required.
             let this = &mut self.tries[*id];
             this.sent.push((conn, message.header.hop_by_hop, false));
-            this.asked = at;
+            this.last_sent = at;
             this.left &= at + self.facts.answer_grace >= this.deadline;
             return;
         }
@@ -481,31 +490,32 @@
         let class =
             self.facts.classes.iter().position(|class| called.starts_with(&class.prefix)).unwrap_or(0);
         let longest = self.facts.classes.get(class).map_or(0, |class| class.deadline);
-        let told = message.number(d::SETUP_PATIENCE).map(|ms| Micros::from(ms) * 1_000);
-        let patience = told.map_or(longest, |told| told.min(longest));
+        let requested = message.number(d::SETUP_PATIENCE).map(|ms| Micros::from(ms) * 1_000);
+        let patience = requested.map_or(longest, |requested| requested.min(longest));
         let deadline = at + patience;
-        let reckoned = self.stalls_began(node, at).into_iter().map(|from| from + patience).collect();
+        let stall_deadlines = self.stall_starts(node, at).into_iter().map(|from| from + patience).collect();
         let session = message.text(d::SESSION_ID).unwrap_or_default().to_owned();
         let caller = message.text(d::CALLING_STATION_ID).unwrap_or(&session).to_owned();
-        let next = self.chains.len();
-        let chain = *self.by_caller.entry(caller).or_insert(next);
-        if chain == next {
-            self.chains.push(Chain { class, first: at, clock: at, stood: None, cut: false });
-        } else if message.number(d::CALL_MARKS).unwrap_or(0) & d::MARK_CUT != 0 && self.chains[chain].cut {
-            let chain = &mut self.chains[chain];
-            (chain.cut, chain.stood, chain.clock) = (false, None, at);
-        }
-        self.case(Rule::OneAnswer, at);
+        let next = self.histories.len();
+        let history = *self.by_caller.entry(caller).or_insert(next);
+        if history == next {
+            self.histories.push(CallerHistory { class, first: at, aim_start: at, stood: None, cut: false });
+        } else if message.number(d::CALL_MARKS).unwrap_or(0) & d::MARK_CUT != 0 && self.histories[history].cut
+        {
+            let history = &mut self.histories[history];
+            (history.cut, history.stood, history.aim_start) = (false, None, at);
+        }
+        self.add_case(Rule::OneAnswer, at);
         let id = self.tries.len();
         self.by_request.insert(key, id);
         self.by_session.insert(session, id);
         let sent = vec![(conn, message.header.hop_by_hop, false)];
         self.tries.push(Try {
             record: number,
-            chain,
+            history,
             deadline,
-            reckoned,
-            asked: at,
+            stall_deadlines,
+            last_sent: at,
             node,
             end,
             sent,
@@ -514,7 +524,7 @@
         });
     }
 
-    fn answered(&mut self, number: usize, at: Micros, conn: u64, message: &MessageRef<'_>) {
+    fn on_set_up_answer(&mut self, number: usize, at: Micros, conn: u64, message: &MessageRef<'_>) {
         let session = message.text(d::SESSION_ID).unwrap_or_default().to_owned();
         let hop = message.header.hop_by_hop;
         let found = self.by_session.get(&session).copied().filter(|id| {
@@ -522,68 +532,69 @@
         });
         let Some(id) = found else {
             let how = "an answer to no request of this connection".to_owned();
-            return self.broken(Rule::OneAnswer, at, &session, how, vec![number]);
+            return self.add_violation(Rule::OneAnswer, at, &session, how, vec![number]);
         };
         let result = message.result_code();
         if let Some(state) = self.sessions.get_mut(&session).filter(|_| result == result_code::SUCCESS) {
-            state.said = None;
+            state.confirmed = None;
             if std::mem::take(&mut state.in_doubt) {
-                // The node had read it after all.
+                // The node did read the success answer.
                 (state.stands, state.unanswered) = (true, None);
             }
         }
         let (request, deadline, earlier) =
             (self.tries[id].record, self.tries[id].deadline, self.tries[id].answer);
         let this = &mut self.tries[id];
-        let mut again = false;
+        let mut repeated = false;
         for sent in &mut this.sent {
             if (sent.0, sent.1) == (conn, hop) {
-                again |= std::mem::replace(&mut sent.2, true);
+                repeated |= std::mem::replace(&mut sent.2, true);
             }
         }
         this.answer.get_or_insert((at, result));
-        let (chain, left) = (this.chain, this.left);
-        if again {
+        let (history, left) = (this.history, this.left);
+        if repeated {
             let how = format!("a second answer ({result}) to one request");
-            return self.broken(Rule::OneAnswer, at, &session, how, vec![request, number]);
+            return self.add_violation(Rule::OneAnswer, at, &session, how, vec![request, number]);
         }
         if let Some((_, first)) = earlier {
             if first != result {
                 let how = format!("answers differ: {first}, then {result}");
-                return self.broken(Rule::OneAnswer, at, &session, how, vec![request, number]);
+                return self.add_violation(Rule::OneAnswer, at, &session, how, vec![request, number]);
             }
             return;
         }
         if at > deadline + self.facts.answer_grace && !left {
-            if self.stalled(self.tries[id].node, deadline)
-                || at - self.behind(deadline, at) <= deadline + self.facts.answer_grace
+            if self.in_stall(self.tries[id].node, deadline)
+                || at - self.loop_delay(deadline, at) <= deadline + self.facts.answer_grace
             {
                 return;
             }
             let how =
                 format!("answered with {result} {} ms after the caller's deadline", (at - deadline) / 1_000);
-            self.broken(Rule::OneAnswer, at, &session, how, vec![request, number]);
+            self.add_violation(Rule::OneAnswer, at, &session, how, vec![request, number]);
         }
         if result == result_code::SUCCESS {
             self.stood += 1;
             if !left && at <= deadline + self.facts.answer_grace {
-                self.chains[chain].stood.get_or_insert(at);
+                self.histories[history].stood.get_or_insert(at);
             }
         } else {
             self.turned_away += 1;
         }
     }
 
-    /// Whether a node got no turn by the script at a moment, or had only just got one again.
-    fn stalled(&self, node: u16, at: Micros) -> bool {
+    /// Returns whether a node was in a scripted stall at a time, or had just resumed from one.
+    fn in_stall(&self, node: u16, at: Micros) -> bool {
         let slack = self.facts.answer_grace + self.facts.skew;
         self.stalls
             .iter()
             .any(|(stalled, from, to)| *stalled == node && at + slack >= *from && at <= to + slack)
     }
 
-    /// When the stall in which a node was at a moment began, and those before it that it followed at once.
-    fn stalls_began(&self, node: u16, at: Micros) -> Vec<Micros> {
+    /// Returns the start of the stall in which a node was at a time, and the starts of those that directly
+    /// preceded it.
+    fn stall_starts(&self, node: u16, at: Micros) -> Vec<Micros> {
         let slack = self.facts.answer_grace + self.facts.skew;
         let mut began = Vec::new();
         for (_, from, to) in self.stalls.iter().rev().filter(|(stalled, ..)| *stalled == node) {
@@ -595,17 +606,17 @@
         began
     }
 
-    /// How much of the time between two moments the stand-ins' own loop was behind: as much may a moment be
-    /// later than what it tells of. One that was behind when the first was read counts whole.
-    fn behind(&self, from: Micros, to: Micros) -> Micros {
+    /// Returns for how long the stand-ins' event loop was delayed between two times: a recorded time may be
+    /// later than the event by as much. A delay during which the first time was recorded counts in full.
+    fn loop_delay(&self, from: Micros, to: Micros) -> Micros {
         let within = self.behind.iter().rev().take_while(|(_, until)| *until + self.facts.skew >= from);
         within.filter(|(since, _)| *since <= to).map(|(since, until)| until - since).sum()
     }
 
     // ---- Between nodes and servers ----
 
-    /// Which call each circuit carries, whoever seized it: from the answer that accepts a seizure to the release,
-    /// abort or reset that is seen first.
+    /// Tracks which call each circuit carries, whichever end seized it: from the answer that accepts a
+    /// seizure to the first release, abort or reset.
     #[allow(clippy::too_many_arguments)]
     fn circuit_frame(
         &mut self,
@@ -633,7 +644,7 @@
                     return;
                 }
                 self.circuit_cases += 1;
-                let before = self.carried.insert((node, server, circuit), session.clone());
+                let before = self.circuit_sessions.insert((node, server, circuit), session.clone());
                 if let Some(before) = before.filter(|before| *before != session) {
                     let how = format!(
                         "circuit {circuit} of node {node} and server {server} carries {before} already"
@@ -648,26 +659,31 @@
                 }
             }
             (d::CMD_SESSION_TERMINATION | d::CMD_ABORT_SESSION, true) => {
-                self.carried.retain(|(on, to, _), held| (*on, *to) != (node, server) || held != session);
-                // A success that crosses the release carries nothing any more.
+                self.circuit_sessions
+                    .retain(|(on, to, _), held| (*on, *to) != (node, server) || held != session);
+                // A success answer that crosses the release no longer occupies the circuit.
                 self.seizures.retain(|(on, ..), (_, held)| *on != conn || held != session);
             }
             (d::CMD_CIRCUITS, true) if message.number(d::CIRCUIT_OPERATION) == Some(1) => {
                 let first = message.number(d::CIRCUIT_ID).unwrap_or(0);
                 let count = message.number(d::CIRCUIT_COUNT).unwrap_or(0);
-                // The same reset said again must not end what began in between.
+                // A retransmitted reset must not end a call that began after the first transmission.
                 if !self.resets.insert((conn, head.end_to_end)) {
                     return;
                 }
                 let within = |circuit: u32| circuit >= first && circuit - first < count;
-                self.carried.retain(|(on, to, circuit), _| (*on, *to) != (node, server) || !within(*circuit));
-                // Whichever end resets: an attempt that was out on such a circuit is over there.
+                self.circuit_sessions
+                    .retain(|(on, to, circuit), _| (*on, *to) != (node, server) || !within(*circuit));
+                // A reset by either end ends an outstanding attempt on such a circuit.
                 let over =
                     self.seizures.iter().filter(|((on, ..), (circuit, _))| *on == conn && within(*circuit));
                 for ((_, hop, _), (_, session)) in over {
                     let Some(state) = self.sessions.get_mut(session) else { continue };
-                    if state.out.is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, *hop)) {
-                        state.out = None;
+                    if state
+                        .outstanding
+                        .is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, *hop))
+                    {
+                        state.outstanding = None;
                         state.unanswered = Some((at, number));
                     }
                 }
@@ -676,11 +692,11 @@
         }
     }
 
-    /// A server seizes a circuit that it controls: a seizure of the node's that is out on it is disregarded there, and
-    /// the call may be sent again at once.
-    fn yielded(&mut self, server: u16, node: u16, conn: u64, message: &MessageRef<'_>) {
+    /// Handles a server's seizure of a circuit that it controls: the server disregards a seizure by the node
+    /// that is outstanding on it, and the node may send that call again at once.
+    fn on_server_seizure(&mut self, server: u16, node: u16, conn: u64, message: &MessageRef<'_>) {
         let Some(circuit) = message.number(d::CIRCUIT_ID) else { return };
-        if !controls(server, node, circuit) {
+        if !server_controls(server, node, circuit) {
             return;
         }
         for ((on, hop, _), (seized, session)) in &self.seizures {
@@ -688,8 +704,9 @@
                 continue;
             }
             if let Some(state) = self.sessions.get_mut(session) {
-                if state.out.is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, *hop)) {
-                    state.out = None;
+                if state.outstanding.is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, *hop))
+                {
+                    state.outstanding = None;
                 }
             }
         }
@@ -709,26 +726,26 @@
         let session = message.text(d::SESSION_ID).unwrap_or_default();
         self.circuit_frame(number, at, server, node, conn, to_node, message);
         match (message.header.command, message.header.is_request(), to_node) {
-            (d::CMD_AA, true, false) => self.attempted(number, at, server, node, conn, message),
-            (d::CMD_AA, true, true) => self.yielded(server, node, conn, message),
+            (d::CMD_AA, true, false) => self.on_attempt(number, at, server, node, conn, message),
+            (d::CMD_AA, true, true) => self.on_server_seizure(server, node, conn, message),
             (d::CMD_AA, false, true) => {
                 let success = message.result_code() == result_code::SUCCESS;
                 let Some(state) = self.sessions.get_mut(session) else { return };
                 let hop = message.header.hop_by_hop;
-                if state.out.is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, hop)) {
-                    state.out = None;
+                if state.outstanding.is_some_and(|(_, out_on, out_hop, _)| (out_on, out_hop) == (conn, hop)) {
+                    state.outstanding = None;
                     state.stands = success;
-                    state.said = success.then_some((at, conn));
+                    state.confirmed = success.then_some((at, conn));
                 } else if success {
                     self.late += 1;
                 }
             }
             (d::CMD_SESSION_TERMINATION, true, false) => {
                 let Some(state) = self.sessions.get_mut(session) else { return };
-                if state.out.is_some_and(|(out_at, ..)| out_at == server) {
-                    state.out = None;
+                if state.outstanding.is_some_and(|(out_at, ..)| out_at == server) {
+                    state.outstanding = None;
                     state.unanswered = Some((at, number));
-                } else if state.out.is_none() {
+                } else if state.outstanding.is_none() {
                     state.stands = false;
                 }
             }
@@ -738,20 +755,22 @@
                 }
             }
             (d::CMD_DISCONNECT, true, true) => {
-                if let std::collections::hash_map::Entry::Vacant(entry) = self.told.entry((node, server)) {
+                if let std::collections::hash_map::Entry::Vacant(entry) =
+                    self.drain_notices.entry((node, server))
+                {
                     entry.insert(at);
-                    self.case(Rule::Drains, at);
+                    self.add_case(Rule::Drains, at);
                 }
             }
-            // It opened a connection anew after its DPR.
+            // The server opened a new connection after its Disconnect-Peer-Request (DPR).
             (d::CMD_CAPABILITIES, false, true) if message.result_code() == result_code::SUCCESS => {
-                self.told.remove(&(node, server));
+                self.drain_notices.remove(&(node, server));
             }
             _ => {}
         }
     }
 
-    fn attempted(
+    fn on_attempt(
         &mut self,
         number: usize,
         at: Micros,
@@ -764,42 +783,43 @@
         let session = message.text(d::SESSION_ID).unwrap_or_default().to_owned();
         let skew = self.facts.skew;
         let state = self.sessions.entry(session.clone()).or_default();
-        let (out, unanswered, stands) = (state.out, state.unanswered.take(), state.stands);
-        state.out = Some((server, conn, message.header.hop_by_hop, number));
-        (state.said, state.in_doubt) = (None, false);
-        // As `yielded`, met the other way round: the server's seizure waits at a node that had no turn.
+        let (outstanding, unanswered, stands) = (state.outstanding, state.unanswered.take(), state.stands);
+        state.outstanding = Some((server, conn, message.header.hop_by_hop, number));
+        (state.confirmed, state.in_doubt) = (None, false);
+        // As in `on_server_seizure`, with the messages in the opposite order: the server's seizure waits at a
+        // node that has not yet processed it.
         let crosses = message.number(d::CIRCUIT_ID).is_some_and(|circuit| {
             let mut theirs = self.seizures.iter().filter(|((on, _, theirs), _)| *on == conn && *theirs);
-            controls(server, node, circuit) && theirs.any(|(_, (seized, _))| *seized == circuit)
+            server_controls(server, node, circuit) && theirs.any(|(_, (seized, _))| *seized == circuit)
         });
         if crosses {
-            state.out = None;
+            state.outstanding = None;
         }
         self.conn_sessions.entry(conn).or_default().push(session.clone());
-        if out.is_some() || stands || unanswered.is_some() {
-            self.case(Rule::OneAttempt, at);
+        if outstanding.is_some() || stands || unanswered.is_some() {
+            self.add_case(Rule::OneAttempt, at);
         }
-        if let Some((other, _, _, record)) = out {
+        if let Some((other, _, _, record)) = outstanding {
             let how = format!("sent to server {server} while an attempt at server {other} is out");
-            self.broken(Rule::OneAttempt, at, &session, how, vec![record, number]);
+            self.add_violation(Rule::OneAttempt, at, &session, how, vec![record, number]);
         } else if stands {
             let how = format!("sent to server {server} while the call stands");
-            self.broken(Rule::OneAttempt, at, &session, how, vec![number]);
+            self.add_violation(Rule::OneAttempt, at, &session, how, vec![number]);
         }
         if let Some((ended, record)) = unanswered {
-            self.case(Rule::Release, at);
-            if at - ended + self.behind(ended, at) < self.facts.release - skew {
+            self.add_case(Rule::Release, at);
+            if at - ended + self.loop_delay(ended, at) < self.facts.release - skew {
                 let how =
                     format!("sent again {} ms after an attempt without an answer", (at - ended) / 1_000);
-                self.broken(Rule::Release, at, &session, how, vec![record, number]);
+                self.add_violation(Rule::Release, at, &session, how, vec![record, number]);
             }
         }
-        if let Some(told) = self.told.get(&(node, server)) {
-            if at - self.behind(*told, at) > told + self.facts.drain_grace + skew {
-                let late = (at - told) / 1_000;
+        if let Some(notified) = self.drain_notices.get(&(node, server)) {
+            if at - self.loop_delay(*notified, at) > notified + self.facts.drain_grace + skew {
+                let late = (at - notified) / 1_000;
                 let how =
                     format!("node {node} sent to server {server} {late} ms after it was told of its drain");
-                self.broken(Rule::Drains, at, &session, how, vec![number]);
+                self.add_violation(Rule::Drains, at, &session, how, vec![number]);
             }
         }
         self.cold_arrival(number, at, server, node);
@@ -823,19 +843,19 @@
         if cold.broken || count as f64 <= budget + 2.0 * budget.sqrt() + 1.0 {
             return;
         }
-        let informed = |node: &u16| self.informed.get(&(*node, server)).is_some_and(|told| *told <= at);
+        let informed = |node: &u16| self.informed.get(&(*node, server)).is_some_and(|learned| *learned <= at);
         let known = cold.arrivals.iter().filter(|(_, node)| informed(node)).count();
         if known * 3 >= count * 2 {
             cold.broken = true;
             let how = format!("{count} set-ups within the span, {budget:.1} allowed");
-            self.broken(Rule::ColdServers, at, &format!("server {server}"), how, vec![number]);
+            self.add_violation(Rule::ColdServers, at, &format!("server {server}"), how, vec![number]);
         }
     }
 
-    fn closed(&mut self, number: usize, at: Micros, end: End, conn: u64) {
+    fn on_closed(&mut self, number: usize, at: Micros, end: End, conn: u64) {
         match end {
             End::Client(_) => {
-                // Whoever lost its connection is owed nothing unless it asks again.
+                // A caller that lost its connection requires no answer unless it sends its request again.
                 for this in self
                     .tries
                     .iter_mut()
@@ -849,13 +869,14 @@
             End::Server(_) => {
                 for session in self.conn_sessions.remove(&conn).unwrap_or_default() {
                     let Some(state) = self.sessions.get_mut(&session) else { continue };
-                    if state.out.is_some_and(|(_, out_on, ..)| out_on == conn) {
-                        state.out = None;
+                    if state.outstanding.is_some_and(|(_, out_on, ..)| out_on == conn) {
+                        state.outstanding = None;
                         state.unanswered = Some((at, number));
                     }
-                    // Written right before its connection ended, an answer is lost with what a reset discards.
-                    let lost = |(said, on): &(Micros, u64)| *on == conn && at - said <= self.facts.skew;
-                    if state.stands && state.said.take_if(|said| lost(said)).is_some() {
+                    // An answer written right before its connection ended may be discarded by the TCP reset.
+                    let lost =
+                        |(confirmed, on): &(Micros, u64)| *on == conn && at - confirmed <= self.facts.skew;
+                    if state.stands && state.confirmed.take_if(|confirmed| lost(confirmed)).is_some() {
                         (state.stands, state.in_doubt) = (false, true);
                         state.unanswered = Some((at, number));
                     }
@@ -866,21 +887,21 @@
 
     // ---- The verdict ----
 
-    fn earned(&self, chain: &Chain, class: &ClassFacts) -> f64 {
-        match chain.stood {
-            Some(at) if !chain.cut && at <= chain.clock + class.aim => class.worth,
-            Some(_) if !chain.cut => class.worth * class.late_worth,
+    fn earned(&self, history: &CallerHistory, class: &ClassFacts) -> f64 {
+        match history.stood {
+            Some(at) if !history.cut && at <= history.aim_start + class.aim => class.worth,
+            Some(_) if !history.cut => class.worth * class.late_worth,
             _ => 0.0,
         }
     }
 
-    fn service<'c>(&self, chains: impl Iterator<Item = &'c Chain>) -> Option<f64> {
+    fn service<'c>(&self, histories: impl Iterator<Item = &'c CallerHistory>) -> Option<f64> {
         let (mut earned, mut offered) = (0.0, 0.0);
-        for chain in chains {
-            if let Some(class) = self.facts.classes.get(chain.class) {
+        for history in histories {
+            if let Some(class) = self.facts.classes.get(history.class) {
                 offered += class.worth;
-                // Calls that come late earn a part, but service counts only what stood in time.
-                let got = self.earned(chain, class);
+                // Late calls earn a part of their worth, but service counts only those established in time.
+                let got = self.earned(history, class);
                 earned += if got < class.worth { 0.0 } else { got };
             }
         }
@@ -890,38 +911,41 @@
     fn verdict(mut self) -> Verdict {
         let (mut excused, mut in_doubt) = (0, 0);
         let mut left = 0;
-        let without =
+        let is_unanswered =
             |this: &Try| this.answer.is_none() && this.deadline + self.facts.answer_grace < self.end;
-        let unanswered: Vec<usize> = (0..self.tries.len()).filter(|id| without(&self.tries[*id])).collect();
+        let unanswered: Vec<usize> =
+            (0..self.tries.len()).filter(|id| is_unanswered(&self.tries[*id])).collect();
         for id in unanswered {
-            let Try { deadline, ref reckoned, asked, record, node, left: gone, .. } = self.tries[id];
-            // Reckoned from a stall's beginning it ended in another one, or was over when it was last asked for.
-            let doubtful = |deadline: Micros| {
-                self.stalled(node, deadline) || asked + self.facts.answer_grace >= deadline
+            let Try { deadline, ref stall_deadlines, last_sent, record, node, left: gone, .. } =
+                self.tries[id];
+            // Counted from the start of a stall, the deadline fell into another stall, or had passed by the
+            // last transmission.
+            let unverifiable = |deadline: Micros| {
+                self.in_stall(node, deadline) || last_sent + self.facts.answer_grace >= deadline
             };
             if gone {
                 left += 1;
-            } else if self.stalled(node, deadline) {
+            } else if self.in_stall(node, deadline) {
                 excused += 1;
-            } else if reckoned.iter().copied().any(doubtful) {
+            } else if stall_deadlines.iter().copied().any(unverifiable) {
                 in_doubt += 1;
             } else {
                 let how = "no answer before the caller's deadline".to_owned();
                 let session = self.by_session.iter().find(|(_, known)| **known == id);
                 let what = session.map_or("a call".to_owned(), |(session, _)| session.clone());
-                self.broken(Rule::OneAnswer, deadline, &what, how, vec![record]);
+                self.add_violation(Rule::OneAnswer, deadline, &what, how, vec![record]);
             }
         }
-        let zero = self.chains.iter().map(|chain| chain.first).min().unwrap_or(0);
+        let zero = self.histories.iter().map(|history| history.first).min().unwrap_or(0);
         let classes = self.facts.classes.iter().enumerate().map(|(index, class)| {
-            let served = self.service(self.chains.iter().filter(|chain| chain.class == index));
+            let served = self.service(self.histories.iter().filter(|history| history.class == index));
             (class.name.clone(), served.unwrap_or(0.0))
         });
         let classes = classes.collect();
-        let last = self.chains.iter().map(|chain| chain.first).max().unwrap_or(0);
+        let last = self.histories.iter().map(|history| history.first).max().unwrap_or(0);
         let windows = (0..=(last - zero) / 5_000_000).map(|window| {
-            let within = |chain: &&Chain| (chain.first - zero) / 5_000_000 == window;
-            self.service(self.chains.iter().filter(within)).unwrap_or(0.0)
+            let within = |history: &&CallerHistory| (history.first - zero) / 5_000_000 == window;
+            self.service(self.histories.iter().filter(within)).unwrap_or(0.0)
         });
         let windows = windows.collect();
         let troubles = self.troubles.values().map(|(text, from, to)| {
@@ -933,12 +957,12 @@
                 self.tallies[rule].broken.iter().filter(|violation| within(violation.at)).count()
             });
             let service =
-                self.service(self.chains.iter().filter(|chain| (*from..=to).contains(&chain.first)));
+                self.service(self.histories.iter().filter(|history| (*from..=to).contains(&history.first)));
             let seconds = |at: Micros| (at - zero) as f64 / 1e6;
             TroubleRow { text: text.clone(), from: seconds(*from), to: seconds(to), cases, broken, service }
         });
         let troubles = troubles.collect();
-        let service = self.service(self.chains.iter()).unwrap_or(0.0);
+        let service = self.service(self.histories.iter()).unwrap_or(0.0);
         let rules = Rule::ALL.iter().map(|rule| {
             let tally = &self.tallies[*rule as usize];
             let first = tally.broken.iter().min_by_key(|violation| violation.at).cloned();
@@ -950,7 +974,7 @@
             service,
             classes,
             windows,
-            callers: self.chains.len(),
+            callers: self.histories.len(),
             tries: self.tries.len(),
             attempts: self.attempts,
             stood: self.stood,
@@ -960,7 +984,7 @@
             excused,
             in_doubt,
             handshakes: (self.handshakes.handshakes + self.handshakes.refused > 0)
-                .then_some(Handshakes { certificates: self.seen.len(), ..self.handshakes }),
+                .then_some(Handshakes { certificates: self.certificates_seen.len(), ..self.handshakes }),
             late: self.late,
             circuits: (self.circuit_cases, self.circuit_shared.len()),
             circuit_shared: self.circuit_shared.first().cloned(),
@@ -972,9 +996,9 @@
     }
 }
 
-/// Whether a server controls a circuit toward a node: of two ends, the one whose name comes later controls the even
-/// ones.
-fn controls(server: u16, node: u16, circuit: u32) -> bool {
+/// Returns whether the server controls a circuit toward a node: the end whose name sorts later controls the
+/// even circuits.
+fn server_controls(server: u16, node: u16, circuit: u32) -> bool {
     let even = format!("server-{server}.lab") > format!("node-{node}.lab");
     circuit.is_multiple_of(2) == even
 }
--- a/crates/lemoncleat-lab/src/lib.rs
+++ b/crates/lemoncleat-lab/src/lib.rs
@@ -1,12 +1,13 @@
-//! The laboratory: stand-in call servers, callers and list on loopback, scripts of trouble, and a judge that
-//! reads only what crossed the sockets.
+//! The lab: stand-in call servers, callers and server list on loopback, scripted troubles, and a judge that
+//! reads only what was sent and received on the sockets.
 //!
-//! - [`Day`] is a script: fleet, traffic and troubles with their moments. Some are built in; any day of the
+//! - [`Day`] is a script: fleet, traffic and troubles with their times. Some are built in; any day of the
 //!   operators' bench can be read with [`bench_day`].
-//! - [`rehearse`] plays a day against access nodes and returns the [`Capture`] of its frames.
-//! - [`judge`] works the five rules and the service out of a capture, sharing no state machine with the node.
-//! - [`stage`] starts real processes and disturbs their links; [`rehearse_agree`] plays and judges what they agree on.
-//! - [`scale`] plays a fleet of a thousand: hollow nodes beside real ones.
+//! - [`rehearse`] runs a day against access nodes and returns the [`Capture`] of its frames.
+//! - [`judge`] checks the five rules and computes the service from a capture; it shares no state machine with the
+//!   node.
+//! - [`stage`] starts real processes and disturbs their links; [`rehearse_agree`] tests and judges their agreement.
+//! - [`scale`] runs a fleet of a thousand nodes: hollow nodes together with real ones.
 //! - [`load`] offers calls at a steady rate and measures set-up times.
 
 mod agree;
@@ -57,5 +58,5 @@
 
 pub use lemoncleat_net::ClientConfig;
 
-/// A span or a moment in microseconds.
+/// A duration or point in time in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-lab/src/list.rs
+++ b/crates/lemoncleat-lab/src/list.rs
@@ -1,4 +1,4 @@
-//! The stand-in list of servers: each node hears of changes late, over a feed of its own.
+//! The stand-in server list: each node receives changes with a delay, on its own feed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::Micros;
 
-/// What the list says of a server.
+/// State of a server in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum Listed {
@@ -16,7 +16,7 @@
     Gone,
 }
 
-/// A server as the list has it.
+/// Entry of a server in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Entry {
     pub server: u16,
@@ -52,15 +52,15 @@
 #[derive(Default)]
 pub(crate) struct Feed {
     pub conn: Option<u64>,
-    /// What the node would know if it had heard all that was due.
+    /// Entries as of the last change that was due, whether or not the node received it.
     pub view: BTreeMap<u16, Entry>,
     revision: u64,
-    /// When the last change is due, so that changes keep their order.
+    /// Time of the last scheduled change; later changes are scheduled after it, which keeps their order.
     pub last_due: Micros,
 }
 
 impl Feed {
-    /// The first line of a connection.
+    /// Returns the first line of a connection: the complete list.
     pub fn complete(&mut self, now: Micros) -> Vec<u8> {
         self.revision += 1;
         let all =
@@ -68,7 +68,7 @@
         line(&LineText { revision: self.revision, complete: Some(all), changes: None })
     }
 
-    /// A change that is due now.
+    /// Applies a change that is due and returns its line.
     pub fn change(&mut self, now: Micros, entry: Entry) -> Vec<u8> {
         self.revision += 1;
         let bytes = line(&LineText {
--- a/crates/lemoncleat-lab/src/load.rs
+++ b/crates/lemoncleat-lab/src/load.rs
@@ -1,5 +1,5 @@
-//! The load tool: open-loop callers at a steady rate, whatever the answers do. Set-up times count from the
-//! moment at which the call was due, so that a tool that falls behind does not hide waiting.
+//! The load tool: open-loop callers at a steady rate, independent of the answers. Set-up times count from the
+//! scheduled time of the call, so that delays of the tool itself do not hide waiting.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -19,39 +19,39 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use crate::server::MAX_MESSAGE;
+use crate::server::MAX_MESSAGE_BYTES;
 use crate::Micros;
 
-/// What the load tool does.
+/// Parameters of the load tool.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// The node.
+    /// Address of the node.
     pub address: SocketAddr,
     /// Its Origin-Host.
     pub node: String,
     /// Its realm.
     pub realm: String,
-    /// Origin-Hosts to connect as, one connection each.
+    /// Origin-Hosts of the clients, one connection each.
     pub clients: Vec<String>,
-    /// Numbers to call, in turn.
+    /// Numbers to call, in rotation.
     pub called: Vec<String>,
     /// Calls a second.
     pub rate: f64,
-    /// How long the rate takes to grow to that from zero.
+    /// Time in which the rate grows from begin.
     pub ramp: Micros,
-    /// How long calls are offered, the ramp included.
+    /// Time in which calls are offered, including the ramp.
     pub duration: Micros,
-    /// Mean length of a call that stands.
+    /// Mean length of a standing call.
     pub length: Micros,
     /// How long a caller waits.
     pub patience: Micros,
     /// Seed of the arrivals.
     pub seed: u64,
-    /// How each connection speaks TLS, in the order of the clients; none for plain.
+    /// TLS configuration of each connection, in the order of the clients; empty for plain connections.
     pub tls: Vec<Arc<ClientConfig>>,
 }
 
-/// What the load tool saw. Times are in microseconds; they count after the ramp only.
+/// Measurements of the load tool. Times are in microseconds and are counted after the ramp only.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
     /// Calls offered.
@@ -60,13 +60,13 @@
     pub results: Vec<(u32, u64)>,
     /// Calls without an answer when the tool ended.
     pub unanswered: u64,
-    /// Calls offered a second, as it came out.
+    /// Calls actually offered per second.
     pub rate: f64,
     /// Answers a second over the time in which calls were offered.
     pub answered_rate: f64,
-    /// Set-up time of calls that came to stand: p50, p90, p99, p99.9, most.
+    /// Set-up time of established calls: p50, p90, p99, p99.9, maximum.
     pub set_up: [u64; 5],
-    /// Calls that those figures rest on.
+    /// Number of calls in those figures.
     pub counted: u64,
 }
 
@@ -90,8 +90,8 @@
     }
 }
 
-/// Keeps `window` calls under way at all times, each released as soon as it stands; how many came to stand a
-/// second, after `settings.ramp`, and how many did not.
+/// Keeps `window` calls outstanding at all times, each released as soon as it is established. Returns, per
+/// second after `settings.ramp`, the number of established calls and of other answers.
 ///
 /// # Errors
 ///
@@ -100,7 +100,7 @@
     lemoncleat_net::run(async |net: Net<()>| Loader::new(settings, net).saturate(window).await)
 }
 
-struct Line {
+struct ClientPeer {
     peer: Peer,
     reader: FrameReader,
 }
@@ -109,10 +109,11 @@
     due: Micros,
     counts: bool,
     session: String,
-    line: usize,
+    peer_index: usize,
 }
 
-/// Offers calls to one node and measures. `progress` hears the part that is over and the calls offered.
+/// Offers calls to one node and measures. `progress` receives the elapsed part and the number of calls
+/// offered.
 ///
 /// # Errors
 ///
@@ -125,7 +126,7 @@
     settings: &'a LoadSettings,
     net: Net<()>,
     start: Instant,
-    lines: Vec<Line>,
+    peers: Vec<ClientPeer>,
     conns: HashMap<u64, usize>,
     calls: HashMap<u32, Call>,
     hang_ups: BinaryHeap<Reverse<(Micros, u32)>>,
@@ -140,7 +141,7 @@
 
 impl<'a> Loader<'a> {
     fn new(settings: &'a LoadSettings, net: Net<()>) -> Self {
-        let lines = settings.clients.iter().enumerate().map(|(index, host)| {
+        let peers = settings.clients.iter().enumerate().map(|(index, host)| {
             let local = Arc::new(Local {
                 host: host.as_str().into(),
                 realm: settings.realm.as_str().into(),
@@ -159,10 +160,13 @@
                 open_timeout: 2_000_000,
                 close_timeout: 1_000_000,
             };
-            Line { peer: Peer::new(local, peer, index as u64), reader: FrameReader::new(MAX_MESSAGE) }
+            ClientPeer {
+                peer: Peer::new(local, peer, index as u64),
+                reader: FrameReader::new(MAX_MESSAGE_BYTES),
+            }
         });
         Loader {
-            lines: lines.collect(),
+            peers: peers.collect(),
             net,
             start: Instant::now(),
             conns: HashMap::new(),
@@ -171,7 +175,7 @@
             standing: HashMap::new(),
             next: 0,
             rng: SmallRng::seed_from_u64(settings.seed),
-            // One microsecond to ten minutes, three digits.
+            // One microsecond to ten minutes, three significant digits.
             times: Histogram::new_with_bounds(1, 600_000_000, 3)
                 .unwrap_or_else(|_| unreachable!("good bounds")),
             results: HashMap::new(),
@@ -185,19 +189,24 @@
         self.start.elapsed().as_micros() as Micros
     }
 
-    fn tell(&mut self, line: usize, input: PeerInput<'_>) -> bool {
+    fn drive_peer(&mut self, peer_index: usize, input: PeerInput<'_>) -> bool {
         let now = self.now();
         let mut outputs = Vec::new();
-        self.lines[line].peer.handle(now, input, &mut outputs);
+        self.peers[peer_index].peer.handle(now, input, &mut outputs);
         let mut deliver = false;
         for output in outputs {
             match output {
                 PeerOutput::Dial => {
                     let name = ServerName::try_from(self.settings.node.clone());
-                    if let (Some(config), Ok(name)) = (self.settings.tls.get(line), name) {
-                        self.net.dial_with_tls(line as u64, name, config.clone(), Duration::from_secs(2));
+                    if let (Some(config), Ok(name)) = (self.settings.tls.get(peer_index), name) {
+                        self.net.dial_with_tls(
+                            peer_index as u64,
+                            name,
+                            config.clone(),
+                            Duration::from_secs(2),
+                        );
                     }
-                    self.net.dial(self.settings.address, line as u64, Duration::from_secs(2));
+                    self.net.dial(self.settings.address, peer_index as u64, Duration::from_secs(2));
                 }
                 PeerOutput::Send(conn, bytes) => self.net.send(conn.0, &bytes),
                 PeerOutput::Close(conn) => self.net.close(conn.0),
@@ -210,14 +219,14 @@
 
     /// Opens all connections.
     async fn open(&mut self) -> Result<(), String> {
-        for line in 0..self.lines.len() {
-            self.tell(line, PeerInput::Start);
+        for peer_index in 0..self.peers.len() {
+            self.drive_peer(peer_index, PeerInput::Start);
         }
         let limit = Instant::now() + Duration::from_secs(10);
-        while self.lines.iter().any(|line| !line.peer.is_open()) {
+        while self.peers.iter().any(|peer_index| !peer_index.peer.is_open()) {
             if Instant::now() > limit {
-                let open = self.lines.iter().filter(|line| line.peer.is_open()).count();
-                return Err(format!("{open} of {} connections opened in 10 s", self.lines.len()));
+                let open = self.peers.iter().filter(|peer_index| peer_index.peer.is_open()).count();
+                return Err(format!("{open} of {} connections opened in 10 s", self.peers.len()));
             }
             self.wait(Some(self.now() + 50_000)).await;
         }
@@ -226,8 +235,8 @@
 
     async fn saturate(mut self, window: usize) -> Result<(f64, f64), String> {
         self.open().await?;
-        let zero = self.now();
-        let (ramp, end) = (zero + self.settings.ramp, zero + self.settings.duration);
+        let begin = self.now();
+        let (ramp, end) = (begin + self.settings.ramp, begin + self.settings.duration);
         let mut before = None;
         let stood = |results: &HashMap<u32, u64>| results.get(&result_code::SUCCESS).copied().unwrap_or(0);
         while self.now() < end {
@@ -245,7 +254,7 @@
             }
             self.wait(Some(now + 20_000)).await;
         }
-        let (stood_before, answered_before, from) = before.unwrap_or((0, 0, zero));
+        let (stood_before, answered_before, from) = before.unwrap_or((0, 0, begin));
         let seconds = (self.now() - from).max(1) as f64 / 1e6;
         let stood_since = stood(&self.results) - stood_before;
         let other = self.answered - answered_before - stood_since;
@@ -254,17 +263,17 @@
 
     async fn run(mut self, progress: &mut dyn FnMut(f64, u64)) -> Result<LoadReport, String> {
         self.open().await?;
-        let zero = self.now();
-        let (mut due, mut told) = (zero, 0);
-        let end = zero + self.settings.duration;
+        let begin = self.now();
+        let (mut due, mut reported) = (begin, 0);
+        let end = begin + self.settings.duration;
         let mut rate_counts = 0u64;
         loop {
             let now = self.now();
             while due <= now && due < end {
-                let ramped = due - zero >= self.settings.ramp;
+                let ramped = due - begin >= self.settings.ramp;
                 rate_counts += u64::from(ramped);
                 self.call(due, ramped);
-                let part = ((due - zero) as f64 / self.settings.ramp.max(1) as f64).clamp(0.02, 1.0);
+                let part = ((due - begin) as f64 / self.settings.ramp.max(1) as f64).clamp(0.02, 1.0);
                 let gap = -self.rng.random::<f64>().max(1e-12).ln() * 1e6 / (self.settings.rate * part);
                 due += (gap as Micros).max(1);
             }
@@ -276,9 +285,9 @@
                 self.hang_up(id);
             }
             self.net.flush();
-            let percent = ((now - zero) * 100 / self.settings.duration.max(1)).min(100);
-            if percent != told {
-                told = percent;
+            let percent = ((now - begin) * 100 / self.settings.duration.max(1)).min(100);
+            if percent != reported {
+                reported = percent;
                 progress(percent as f64 / 100.0, self.offered);
             }
             if now >= end && (self.calls.is_empty() || now >= end + self.settings.patience) {
@@ -321,10 +330,10 @@
             }
             event = self.net.try_next();
         }
-        for line in 0..self.lines.len() {
+        for peer_index in 0..self.peers.len() {
             let now = self.now();
-            if self.lines[line].peer.due().is_some_and(|due| due <= now) {
-                self.tell(line, PeerInput::Timeout);
+            if self.peers[peer_index].peer.due().is_some_and(|due| due <= now) {
+                self.drive_peer(peer_index, PeerInput::Timeout);
             }
         }
         self.net.flush();
@@ -334,39 +343,39 @@
         match event {
             Event::Dialled { tag, conn } => {
                 self.conns.insert(conn, tag as usize);
-                self.lines[tag as usize].reader = FrameReader::new(MAX_MESSAGE);
-                self.tell(tag as usize, PeerInput::Dialled(ConnId(conn)));
+                self.peers[tag as usize].reader = FrameReader::new(MAX_MESSAGE_BYTES);
+                self.drive_peer(tag as usize, PeerInput::Dialled(ConnId(conn)));
             }
             Event::DialFailed { tag, .. } => {
-                self.tell(tag as usize, PeerInput::DialFailed);
+                self.drive_peer(tag as usize, PeerInput::DialFailed);
             }
             Event::Closed { conn } => {
-                if let Some(line) = self.conns.remove(&conn) {
-                    self.tell(line, PeerInput::Closed(ConnId(conn)));
+                if let Some(peer_index) = self.conns.remove(&conn) {
+                    self.drive_peer(peer_index, PeerInput::Closed(ConnId(conn)));
                 }
             }
             Event::Bytes { conn, bytes } => {
-                let Some(&line) = self.conns.get(&conn) else { return };
-                let mut reader = std::mem::replace(&mut self.lines[line].reader, FrameReader::new(0));
+                let Some(&peer_index) = self.conns.get(&conn) else { return };
+                let mut reader = std::mem::replace(&mut self.peers[peer_index].reader, FrameReader::new(0));
                 reader.push(&bytes);
                 while let Ok(Some(frame)) = reader.next_frame() {
                     if let Ok(message) = MessageRef::parse(frame) {
-                        if self.tell(line, PeerInput::Message(ConnId(conn), &message)) {
-                            self.message(line, conn, &message);
+                        if self.drive_peer(peer_index, PeerInput::Message(ConnId(conn), &message)) {
+                            self.message(peer_index, conn, &message);
                         }
                     }
                 }
-                self.lines[line].reader = reader;
+                self.peers[peer_index].reader = reader;
             }
             Event::Accepted { .. } | Event::Message(()) => {}
         }
     }
 
     fn call(&mut self, due: Micros, counts: bool) {
-        let line = self.next as usize % self.lines.len();
+        let peer_index = self.next as usize % self.peers.len();
         let id = self.next & 0x7fff_ffff;
         self.next = self.next.wrapping_add(1);
-        let host = &self.settings.clients[line];
+        let host = &self.settings.clients[peer_index];
         let session = format!("{host};{};{id}", self.settings.seed);
         let called = &self.settings.called[id as usize % self.settings.called.len()];
         let request = MessageBuilder::request(d::CMD_AA, d::APP_NAS, true, id, id)
@@ -380,16 +389,16 @@
             .add_str(d::CALLING_STATION_ID, &session)
             .add_u32(d::SETUP_PATIENCE, u32::try_from(self.settings.patience / 1_000).unwrap_or(u32::MAX));
         self.offered += 1;
-        if let Some(conn) = self.lines[line].peer.connection() {
+        if let Some(conn) = self.peers[peer_index].peer.connection() {
             self.net.send(conn.0, &request.build());
         }
-        self.calls.insert(id, Call { due, counts, session, line });
+        self.calls.insert(id, Call { due, counts, session, peer_index });
     }
 
-    fn message(&mut self, line: usize, conn: u64, message: &MessageRef<'_>) {
+    fn message(&mut self, peer_index: usize, conn: u64, message: &MessageRef<'_>) {
         if message.header.is_request() {
             let answer = MessageBuilder::answer(message, result_code::SUCCESS)
-                .add_str(d::ORIGIN_HOST, &self.settings.clients[line])
+                .add_str(d::ORIGIN_HOST, &self.settings.clients[peer_index])
                 .add_str(d::ORIGIN_REALM, &self.settings.realm);
             self.net.send(conn, &answer.build());
             return;
@@ -410,13 +419,13 @@
         }
         let id = message.header.hop_by_hop;
         let length = (-self.rng.random::<f64>().max(1e-12).ln() * self.settings.length as f64) as Micros;
-        self.standing.insert(id, (call.line, call.session));
+        self.standing.insert(id, (call.peer_index, call.session));
         self.hang_ups.push(Reverse((now + length, id)));
     }
 
     fn hang_up(&mut self, id: u32) {
-        let Some((line, session)) = self.standing.remove(&id) else { return };
-        let Some(conn) = self.lines[line].peer.connection() else { return };
+        let Some((peer_index, session)) = self.standing.remove(&id) else { return };
+        let Some(conn) = self.peers[peer_index].peer.connection() else { return };
         let request = MessageBuilder::request(
             d::CMD_SESSION_TERMINATION,
             d::APP_NAS,
@@ -425,7 +434,7 @@
             id | 0x4000_0000,
         )
         .add_str(d::SESSION_ID, &session)
-        .add_str(d::ORIGIN_HOST, &self.settings.clients[line])
+        .add_str(d::ORIGIN_HOST, &self.settings.clients[peer_index])
         .add_str(d::ORIGIN_REALM, &self.settings.realm)
         .add_str(d::DESTINATION_REALM, &self.settings.realm)
         .add_u32(d::AUTH_APPLICATION_ID, d::APP_NAS)
--- a/crates/lemoncleat-lab/src/processor.rs
+++ b/crates/lemoncleat-lab/src/processor.rs
@@ -1,43 +1,44 @@
-//! A call server's processor: one line that works jobs off, as the operators' briefs describe it. A model,
-//! not a measurement of a real machine.
+//! Model of a call server's processor: one queue whose jobs run in sequence, as the operators' briefs
+//! describe it. It does not measure a real machine.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 
-/// What one job is.
+/// A job of the processor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Job {
-    /// A set-up, by the number of its session and when it came.
+    /// A set-up: number of its session and time of arrival.
     SetUp(u64, Micros),
-    /// The answer of a call that came to stand: work only.
+    /// The answer to an established call; counts as work only.
     Answer,
-    /// A release, by the number of its session.
+    /// A release: number of its session.
     Release(u64),
-    /// Turning a set-up away: work only.
+    /// Refusal of a set-up; counts as work only.
     Reject,
 }
 
-/// How a processor works.
+/// Parameters of a processor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessorSettings {
-    /// Calls a second that it can carry when warm: set-up, answer and release together.
+    /// Calls per second that it can process when warm, with set-up, answer and release.
     pub capacity: f64,
-    /// Share of a call's work that is the set-up, the answer, the release.
+    /// Shares of a call's work for the set-up, the answer and the release.
     pub shares: (f64, f64, f64),
-    /// Work of turning a set-up away, as a share of a call's.
+    /// Work of refusing a set-up, as a share of a call's.
     pub reject: f64,
-    /// Wait beyond which set-ups are turned away.
+    /// Wait beyond which set-ups are refused.
     pub queue: Micros,
-    /// A set-up that waits is sent again after this and then at doubling gaps; each repeat is work.
+    /// A waiting set-up is retransmitted after this time and then at doubling intervals; each repeat adds
+    /// work.
     pub repeat: Option<Micros>,
     /// Work of a repeat, as a share of a call's.
     pub repeat_work: f64,
-    /// Answers and releases go ahead of set-ups.
+    /// Answers and releases are processed before set-ups.
     pub finish_first: bool,
-    /// Share of its capacity that it starts with.
+    /// Share of its capacity at a cold start.
     pub cold_from: f64,
-    /// How long it takes to warm up.
+    /// Time to warm up.
     pub cold_span: Micros,
 }
 
@@ -51,13 +52,13 @@
     /// Work waiting in both queues, in microseconds of a warm processor.
     backlog: f64,
     started: Option<Micros>,
-    /// How many times slower it runs.
+    /// Factor by which it runs slower.
     pub slow: f64,
     hung: Option<Micros>,
 }
 
 impl Processor {
-    /// A warm processor with nothing to do.
+    /// Creates a warm, idle processor.
     pub fn new(settings: ProcessorSettings) -> Self {
         Processor {
             settings,
@@ -71,17 +72,17 @@
         }
     }
 
-    /// It starts anew: nothing in line, and cold.
+    /// Restarts the processor, cold and with empty queues.
     pub fn restart(&mut self, now: Micros) {
         *self = Processor { started: Some(now), slow: self.slow, ..Processor::new(self.settings.clone()) };
     }
 
-    /// How it works.
+    /// Returns its parameters.
     pub fn settings(&self) -> &ProcessorSettings {
         &self.settings
     }
 
-    /// Share of its capacity that it has.
+    /// Returns the share of its capacity available at a time.
     pub fn warmth(&self, now: Micros) -> f64 {
         let Some(started) = self.started else { return 1.0 };
         let age = (now - started).max(0) as f64 / self.settings.cold_span.max(1) as f64;
@@ -89,7 +90,7 @@
         (from + (1.0 - from) * age).min(1.0)
     }
 
-    /// It stops working, or goes on where it stopped.
+    /// Stops processing, or resumes where it stopped.
     pub fn hang(&mut self, now: Micros, on: bool) {
         match (on, self.hung) {
             (true, None) => self.hung = Some(now),
@@ -98,19 +99,19 @@
                 if let Some((_, ends)) = &mut self.running {
                     *ends += now - since;
                 }
-                self.begin(now);
+                self.start_next(now);
             }
             _ => {}
         }
     }
 
-    fn work(&self, job: &Job, now: Micros) -> f64 {
+    fn job_work(&self, job: &Job, now: Micros) -> f64 {
         let call = 1e6 / self.settings.capacity;
         let (set_up, answer, release) = self.settings.shares;
         match job {
-            Job::SetUp(_, came) => {
+            Job::SetUp(_, arrived) => {
                 let repeats = match self.settings.repeat {
-                    Some(gap) if gap > 0 => ((now - came) as f64 / gap as f64 + 1.0).log2().floor(),
+                    Some(gap) if gap > 0 => ((now - arrived) as f64 / gap as f64 + 1.0).log2().floor(),
                     _ => 0.0,
                 };
                 call * (set_up + repeats.max(0.0) * self.settings.repeat_work)
@@ -121,44 +122,44 @@
         }
     }
 
-    /// How long a job that comes now would wait.
+    /// Returns how long a job that arrives now would wait.
     pub fn wait(&self, now: Micros) -> Micros {
         let rest = self.running.as_ref().map_or(0, |(_, ends)| (ends - now).max(0));
         rest + (self.backlog * self.slow / self.warmth(now)) as Micros
     }
 
-    /// How many jobs wait.
+    /// Returns the number of waiting jobs.
     pub fn waiting(&self) -> usize {
         self.urgent.len() + self.queue.len()
     }
 
-    /// Takes a job in.
+    /// Queues a job.
     pub fn push(&mut self, now: Micros, job: Job) {
-        self.backlog += self.work(&job, now);
+        self.backlog += self.job_work(&job, now);
         if self.settings.finish_first && matches!(job, Job::Answer | Job::Release(_)) {
             self.urgent.push_back(job);
         } else {
             self.queue.push_back(job);
         }
-        self.begin(now);
+        self.start_next(now);
     }
 
-    /// Takes a set-up that waits out of line.
+    /// Removes a waiting set-up from the queue.
     pub fn drop_set_up(&mut self, session: u64) {
         let found = self.queue.iter().position(|job| matches!(job, Job::SetUp(s, _) if *s == session));
         if let Some(job) = found.and_then(|at| self.queue.remove(at)) {
-            self.backlog = (self.backlog - self.work_at_entry(&job)).max(0.0);
+            self.backlog = (self.backlog - self.work_when_queued(&job)).max(0.0);
         }
     }
 
-    fn work_at_entry(&self, job: &Job) -> f64 {
+    fn work_when_queued(&self, job: &Job) -> f64 {
         match job {
-            Job::SetUp(_, came) => self.work(job, *came),
-            _ => self.work(job, 0),
+            Job::SetUp(_, arrived) => self.job_work(job, *arrived),
+            _ => self.job_work(job, 0),
         }
     }
 
-    fn begin(&mut self, now: Micros) {
+    fn start_next(&mut self, now: Micros) {
         if self.running.is_some() || self.hung.is_some() {
             return;
         }
@@ -166,12 +167,12 @@
             self.backlog = 0.0;
             return;
         };
-        self.backlog = (self.backlog - self.work_at_entry(&job)).max(0.0);
-        let time = self.work(&job, now) * self.slow / self.warmth(now);
+        self.backlog = (self.backlog - self.work_when_queued(&job)).max(0.0);
+        let time = self.job_work(&job, now) * self.slow / self.warmth(now);
         self.running = Some((job, now + time as Micros));
     }
 
-    /// When the running job is done.
+    /// Returns when the running job finishes.
     pub fn due(&self) -> Option<Micros> {
         if self.hung.is_some() {
             return None;
@@ -179,13 +180,13 @@
         self.running.as_ref().map(|(_, ends)| *ends)
     }
 
-    /// The running job, if it is done; the next one begins where it ended.
+    /// Returns the running job if it is finished; the next one starts at the time at which it ended.
     pub fn pop(&mut self, now: Micros) -> Option<Job> {
         if self.hung.is_some() || self.running.as_ref().is_none_or(|(_, ends)| *ends > now) {
             return None;
         }
         let (job, ends) = self.running.take()?;
-        self.begin(ends);
+        self.start_next(ends);
         Some(job)
     }
 }
@@ -209,7 +210,7 @@
     }
 
     #[test]
-    fn jobs_take_their_share_of_a_calls_work_and_wait_for_one_another() {
+    fn jobs_run_in_sequence_with_their_share_of_call_work() {
         let mut processor = Processor::new(settings());
         processor.push(0, Job::SetUp(1, 0));
         processor.push(0, Job::Release(2));
@@ -222,7 +223,7 @@
     }
 
     #[test]
-    fn a_cold_processor_is_slower_and_warms_up() {
+    fn cold_processor_runs_slower_until_warm() {
         let mut processor = Processor::new(settings());
         processor.restart(0);
         processor.push(0, Job::SetUp(1, 0));
@@ -232,7 +233,7 @@
     }
 
     #[test]
-    fn a_hung_processor_goes_on_where_it_stopped() {
+    fn hung_processor_resumes_running_job() {
         let mut processor = Processor::new(settings());
         processor.push(0, Job::SetUp(1, 0));
         processor.hang(2_000, true);
@@ -242,7 +243,7 @@
     }
 
     #[test]
-    fn waiting_set_ups_cost_their_repeats_and_one_dropped_costs_nothing() {
+    fn waiting_set_ups_add_repeat_work_and_dropped_ones_none() {
         let mut processor = Processor::new(ProcessorSettings { repeat: Some(1_000), ..settings() });
         processor.push(0, Job::SetUp(1, 0));
         processor.push(0, Job::SetUp(2, 0));
@@ -250,12 +251,12 @@
         processor.drop_set_up(2);
         assert_eq!(processor.waiting(), 1);
         processor.pop(6_000);
-        // It waited six gaps: two repeats of 2 ms beside its own 6 ms.
+        // It waited six intervals: two repeats of 2 ms in addition to its own 6 ms.
         assert_eq!(processor.due(), Some(16_000));
     }
 
     #[test]
-    fn answers_go_ahead_of_set_ups_where_they_do() {
+    fn answers_precede_set_ups_when_finish_first_is_set() {
         let mut processor = Processor::new(ProcessorSettings { finish_first: true, ..settings() });
         processor.push(0, Job::SetUp(1, 0));
         processor.push(0, Job::SetUp(2, 0));
--- a/crates/lemoncleat-lab/src/rehearse.rs
+++ b/crates/lemoncleat-lab/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! Rehearsals: a laboratory on loopback sockets, around real nodes.
+//! Runs of a day: a lab on loopback sockets with real nodes.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -7,42 +7,43 @@
 use lemoncleat_net::{ClientConfig, Event, Net, ServerConfig, ServerName};
 
 use crate::capture::{Capture, Record};
-use crate::credentials::{HANDSHAKE, HANDSHAKES};
+use crate::credentials::{HANDSHAKE_TIMEOUT, MAX_HANDSHAKES};
 use crate::day::Day;
 use crate::wire::Wire;
 use crate::world::{LabMessage, RehearseError, StartNode, World};
 use crate::Micros;
 
-/// How long connections may take to come about at the start.
-const OPEN_WITHIN: Duration = Duration::from_secs(20);
-/// How long the ends of trunk groups may take to agree after the last call: two rounds of audits and a reset.
-const SETTLE_WITHIN: Micros = 15_000_000;
-/// How long nodes may take to stop at the end.
-const STOP_WITHIN: Micros = 5_000_000;
+/// Time limit for establishing the connections at the start.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time in which the ends of trunk groups must agree after the last call: two rounds of audits and a reset.
+const SETTLE_TIMEOUT_US: Micros = 15_000_000;
+/// Time limit for stopping the nodes at the end.
+const STOP_TIMEOUT_US: Micros = 5_000_000;
 
-/// What a rehearsal left.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Rehearsal {
-    /// All that crossed the sockets.
+    /// Everything that was sent and received on the sockets.
     pub capture: Capture,
-    /// Calls that still stood at servers when every caller had hung up: lost there.
+    /// Calls still standing at servers after every caller hung up: lost calls.
     pub left_standing: usize,
-    /// How long it took, in microseconds.
+    /// Duration of the run, in microseconds.
     pub took: Micros,
-    /// Calls of servers that came to stand.
+    /// Calls from servers that were established.
     pub far_stood: u64,
-    /// Circuits still in use at servers when every caller had hung up.
+    /// Circuits still in use at servers after every caller hung up.
     pub circuits_in_use: u32,
-    /// Certificates that the authority issued to nodes, and what nodes did there that no client may do.
+    /// Number of certificates that the authority issued to nodes, and the nodes' violations of the ACME
+    /// protocol.
     pub certificates: Option<(usize, Vec<String>)>,
 }
 
-/// A laboratory that is up.
+/// Addresses and names of a running lab.
 #[derive(Clone, Debug)]
 pub struct LabReady {
-    /// Where the nodes listen.
+    /// Addresses on which the nodes listen.
     pub nodes: Vec<SocketAddr>,
-    /// Their control ports, where they have one.
+    /// Addresses of the control ports of nodes that have one.
     pub controls: Vec<SocketAddr>,
     /// The Origin-Hosts of the stand-in servers.
     pub servers: Vec<String>,
@@ -62,7 +63,7 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         if let Some(config) = tls {
-            self.net.listen_with_tls(tag, config, HANDSHAKES, HANDSHAKE);
+            self.net.listen_with_tls(tag, config, MAX_HANDSHAKES, HANDSHAKE_TIMEOUT);
         }
         self.net.listen(listener, tag)?;
         Ok(address)
@@ -70,7 +71,7 @@
 
     fn dial(&mut self, address: SocketAddr, tag: u64, tls: Option<(ServerName<'static>, Arc<ClientConfig>)>) {
         if let Some((name, config)) = tls {
-            self.net.dial_with_tls(tag, name, config, HANDSHAKE);
+            self.net.dial_with_tls(tag, name, config, HANDSHAKE_TIMEOUT);
         }
         self.net.dial(address, tag, Duration::from_secs(1));
     }
@@ -104,12 +105,12 @@
     }
 }
 
-/// Plays a day. Nodes are started by `start` from their settings; `progress` hears the part that is over,
-/// from 0 to 1.
+/// Runs a day. `start` starts the nodes from their settings; `progress` receives the elapsed part, from 0 to
+/// 1.
 ///
 /// # Errors
 ///
-/// When sockets fail, a node does not start, or connections don't come about.
+/// Fails if sockets fail, a node does not start, or connections are not established in time.
 pub fn rehearse(
     day: &Day,
     start: StartNode<'_>,
@@ -124,8 +125,8 @@
     })
 }
 
-/// As [`rehearse`], for a day whose end is told: `ready` gets the way to say [`LabMessage::LastCall`] once calls
-/// arrive.
+/// Runs a day like [`rehearse`], until [`LabMessage::LastCall`] is sent to the mailbox that `ready` receives
+/// when calls begin to arrive.
 ///
 /// # Errors
 ///
@@ -145,8 +146,8 @@
     })
 }
 
-/// Keeps a laboratory up: one or more nodes with stand-ins, for clients from outside under the names given.
-/// `ready` hears where everything is, and gets a way to end it.
+/// Runs a lab of one or more nodes with stand-ins, for external clients under the given names. `ready`
+/// receives the addresses and a mailbox through which the lab can be stopped.
 ///
 /// # Errors
 ///
@@ -164,12 +165,12 @@
         let wire = Sockets { net, start: Instant::now() };
         let mut world = World::build(day, wire, start, clients)?;
         world.open().await?;
-        let told = LabReady {
+        let lab_ready = LabReady {
             nodes: world.nodes.iter().map(|node| node.address()).collect(),
             controls: world.nodes.iter().filter_map(|node| node.control()).collect(),
             servers: world.servers.iter().map(|server| server.host.clone()).collect(),
         };
-        ready(&told, world.wire.net.sender());
+        ready(&lab_ready, world.wire.net.sender());
         while world.turn().await {
             world.records.clear();
         }
@@ -179,10 +180,10 @@
 }
 
 impl World<Sockets> {
-    /// Waits until every front-end and every server has its connections with the nodes.
+    /// Waits until every front-end and every server is connected with its nodes.
     async fn open(&mut self) -> Result<(), RehearseError> {
         self.connect();
-        let limit = Instant::now() + OPEN_WITHIN;
+        let limit = Instant::now() + CONNECT_TIMEOUT;
         loop {
             self.turn().await;
             let (fronts, servers) = self.unconnected();
@@ -198,23 +199,23 @@
 
     async fn play(&mut self, progress: &mut dyn FnMut(f64)) {
         let last = self.begin_day();
-        let mut told = 0;
+        let mut reported = 0;
         while self.turn().await {
             let part = (self.now() - self.zero) * 100 / last;
-            if part != told {
-                told = part;
+            if part != reported {
+                reported = part;
                 progress(part as f64 / 100.0);
             }
         }
     }
 
-    /// Everybody hangs up; how many circuits stay in use although both ends had time to agree?
+    /// Ends all calls and counts the circuits that stay in use although both ends had time to agree.
     async fn settle_circuits(&mut self) {
         if self.day.circuits.is_none() {
             return;
         }
         self.hang_up_all();
-        let limit = self.now() + SETTLE_WITHIN;
+        let limit = self.now() + SETTLE_TIMEOUT_US;
         loop {
             self.turn().await;
             self.in_use_at_end = self.circuits_in_use().len() as u32;
@@ -239,7 +240,7 @@
             }));
         }
         let mut ended = 0;
-        let limit = at + STOP_WITHIN;
+        let limit = at + STOP_TIMEOUT_US;
         while ended < count && self.now() < limit {
             let until = self.wire.start + Duration::from_micros(limit as u64);
             match self.wire.net.next(Some(until)).await {
@@ -255,7 +256,7 @@
             }
         }
         Rehearsal {
-            certificates: self.tls.as_ref().map(|tls| tls.credentials.told()),
+            certificates: self.tls.as_ref().map(|tls| tls.credentials.issue_report()),
             far_stood: self.far_stood,
             circuits_in_use: self.in_use_at_end,
             left_standing: self.standing(),
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Waits for what comes next and handles it; `false` at the end.
+    /// Waits for the next event and handles it. Returns `false` at the end.
     async fn turn(&mut self) -> bool {
         let until = self.due().map(|at| self.wire.start + Duration::from_micros(at.max(0) as u64));
         if let Some(event) = self.wire.net.next(until).await {
--- a/crates/lemoncleat-lab/src/relay.rs
+++ b/crates/lemoncleat-lab/src/relay.rs
@@ -13,7 +13,7 @@
 };
 use lemoncleat_net::{Event, Mailbox, Net};
 
-use crate::server::MAX_MESSAGE;
+use crate::server::MAX_MESSAGE_BYTES;
 
 struct Side {
     peer: Option<Peer>,
@@ -21,28 +21,28 @@
     client: bool,
 }
 
-/// A relay on a thread of its own.
+/// A relay on its own thread.
 pub struct Relay {
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     mailbox: Mailbox<()>,
     thread: std::thread::JoinHandle<()>,
 }
 
 impl Relay {
-    /// Ends it.
+    /// Stops the relay.
     pub fn stop(self) {
         let _ = self.mailbox.send_blocking(());
         let _ = self.thread.join();
     }
 }
 
-/// Starts a relay in front of servers. It answers capabilities and watchdogs, gives each request a
-/// hop-by-hop identifier of its own, and passes the answers back.
+/// Starts a relay in front of servers. It answers capabilities and watchdogs, replaces the hop-by-hop
+/// identifier of each request, and passes the answers back.
 ///
 /// # Errors
 ///
-/// When no socket or thread is to be had.
+/// Fails if no socket or thread can be created.
 pub fn spawn_relay(host: &str, servers: Vec<(String, SocketAddr)>) -> std::io::Result<Relay> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -85,8 +85,8 @@
 async fn serve(mut net: Net<()>, local: Arc<Local>, servers: Vec<(String, SocketAddr)>) {
     let mut sides: HashMap<u64, Side> = HashMap::new();
     let mut open: Vec<u64> = Vec::new();
-    // Requests out: the client's connection and identifier.
-    let mut out: HashMap<u32, (u64, u32)> = HashMap::new();
+    // Outstanding requests: connection and hop-by-hop identifier of the client.
+    let mut outstanding: HashMap<u32, (u64, u32)> = HashMap::new();
     let mut next: u32 = 1;
     for (tag, (_, address)) in servers.iter().enumerate() {
         net.dial(*address, tag as u64, Duration::from_secs(2));
@@ -102,7 +102,7 @@
                 Event::Accepted { conn, .. } => {
                     sides.insert(
                         conn,
-                        Side { peer: None, reader: FrameReader::new(MAX_MESSAGE), client: true },
+                        Side { peer: None, reader: FrameReader::new(MAX_MESSAGE_BYTES), client: true },
                     );
                 }
                 Event::Dialled { tag, conn } => {
@@ -111,7 +111,7 @@
                     machine.handle(now, PeerInput::Start, &mut outputs);
                     machine.handle(now, PeerInput::Dialled(ConnId(conn)), &mut outputs);
                     send(&mut net, &outputs);
-                    let reader = FrameReader::new(MAX_MESSAGE);
+                    let reader = FrameReader::new(MAX_MESSAGE_BYTES);
                     sides.insert(conn, Side { peer: Some(machine), reader, client: false });
                 }
                 Event::DialFailed { .. } => {}
@@ -153,10 +153,10 @@
                         let mut bytes = frame.to_vec();
                         if message.header.is_request() && !open.is_empty() {
                             next = next.wrapping_add(1);
-                            out.insert(next, (conn, message.header.hop_by_hop));
+                            outstanding.insert(next, (conn, message.header.hop_by_hop));
                             bytes[12..16].copy_from_slice(&next.to_be_bytes());
                             net.send(open[next as usize % open.len()], &bytes);
-                        } else if let Some((client, hop)) = out.remove(&message.header.hop_by_hop) {
+                        } else if let Some((client, hop)) = outstanding.remove(&message.header.hop_by_hop) {
                             bytes[12..16].copy_from_slice(&hop.to_be_bytes());
                             net.send(client, &bytes);
                         }
