--- a/crates/lemoncleat-lab/src/renewals.rs
+++ b/crates/lemoncleat-lab/src/renewals.rs
@@ -1,50 +1,51 @@
-//! A fleet's renewals over months, with the planner alone: when its nodes come to the authority, against a fixed date
-//! and a fixed wait.
+//! Simulates a fleet's certificate renewals over months with the planner alone: the times of the nodes'
+//! requests to the authority, compared with a fixed date and a fixed retry interval.
 
 use lemoncleat_acme::planner::{next_try, Policy, Seconds, Situation, Validity};
 
-/// A fleet whose nodes all got their certificates at once, which is the worst start.
+/// A fleet whose nodes all got their certificates at the same time, which is the worst case.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetRun {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: u64,
-    /// How long a certificate lasts, in seconds.
+    /// Lifetime of a certificate, in seconds.
     pub lifetime: Seconds,
-    /// Between these moments the authority is not reached (seconds after the start); equal for never.
+    /// Start and end of an outage of the authority, in seconds after the start; equal for none.
     pub away: (Seconds, Seconds),
-    /// How long is looked at, in seconds.
+    /// Simulated time, in seconds.
     pub length: Seconds,
     /// Seed of the fleet's nodes.
     pub seed: u64,
 }
 
-/// When the nodes came.
+/// Tries of the nodes over time, and expired certificates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FleetResult {
     /// Tries in each hour.
     pub hours: Vec<u32>,
     /// Most tries in one minute.
     pub busiest_minute: u32,
-    /// Most tries in one minute of the first hour after the authority is back.
+    /// Most tries in one minute of the first hour after the outage.
     pub busiest_minute_back: u32,
-    /// Tries while the authority was away.
+    /// Tries during the outage.
     pub in_vain: u64,
-    /// Nodes that had no valid certificate for a while.
+    /// Nodes that had no valid certificate for some time.
     pub bare: u64,
-    /// Seconds without one, of all nodes together.
+    /// Seconds without a valid certificate, summed over all nodes.
     pub bare_time: Seconds,
 }
 
-/// How nodes plan.
+/// How nodes schedule renewals.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FleetPlan {
-    /// The planner's: a moment for each node, waits that double with jitter and tighten.
+    /// The planner: a time for each node, with retry waits that double with jitter and become shorter toward
+    /// expiry.
     Planner(Policy),
-    /// All at two thirds of life, and again every so many seconds after a failure.
+    /// All nodes at two thirds of the lifetime, with a retry this many seconds after each failure.
     Fixed(Seconds),
 }
 
-/// Plays a fleet.
+/// Simulates a fleet.
 pub fn fleet_run(run: &FleetRun, plan: FleetPlan) -> FleetResult {
     let minutes = usize::try_from(run.length / 60 + 1).unwrap_or(0);
     let mut per_minute = vec![0_u32; minutes];
@@ -54,7 +55,7 @@
         let mut newest = Validity { from: 0, until: run.lifetime };
         let (mut failures, mut failed_at) = (0_u32, 0);
         let mut now = 0;
-        let mut was_bare = false;
+        let mut expired = false;
         loop {
             let due = match plan {
                 FleetPlan::Planner(policy) => {
@@ -78,20 +79,20 @@
             } else {
                 if now > newest.until {
                     bare_time += now - newest.until;
-                    was_bare = true;
+                    expired = true;
                 }
                 newest = Validity { from: now, until: now + run.lifetime };
                 failures = 0;
             }
         }
-        bare += u64::from(was_bare);
+        bare += u64::from(expired);
     }
-    let back = usize::try_from(run.away.1 / 60).unwrap_or(0);
-    let after = per_minute.iter().skip(back).take(60).copied().max().unwrap_or(0);
+    let outage_end_minute = usize::try_from(run.away.1 / 60).unwrap_or(0);
+    let busiest_after_outage = per_minute.iter().skip(outage_end_minute).take(60).copied().max().unwrap_or(0);
     FleetResult {
         hours: per_minute.chunks(60).map(|hour| hour.iter().sum()).collect(),
         busiest_minute: per_minute.iter().copied().max().unwrap_or(0),
-        busiest_minute_back: if run.away.0 < run.away.1 { after } else { 0 },
+        busiest_minute_back: if run.away.0 < run.away.1 { busiest_after_outage } else { 0 },
         in_vain,
         bare,
         bare_time,
@@ -105,7 +106,7 @@
     const DAY: Seconds = 86_400;
 
     #[test]
-    fn a_fleet_comes_spread_out_where_a_fixed_date_has_it_at_once() {
+    fn planner_spreads_renewals_that_a_fixed_date_makes_at_once() {
         let run = FleetRun { nodes: 200, lifetime: 90 * DAY, away: (0, 0), length: 85 * DAY, seed: 1 };
         let planned = fleet_run(&run, FleetPlan::Planner(Policy::default()));
         let fixed = fleet_run(&run, FleetPlan::Fixed(3_600));
@@ -115,13 +116,13 @@
     }
 
     #[test]
-    fn an_authority_that_is_away_gets_fewer_tries_and_no_crowd_when_it_is_back() {
+    fn planner_limits_tries_during_and_after_an_authority_outage() {
         let away = (55 * DAY, 75 * DAY);
         let run = FleetRun { nodes: 200, lifetime: 90 * DAY, away, length: 85 * DAY, seed: 1 };
         let planned = fleet_run(&run, FleetPlan::Planner(Policy::default()));
         let fixed = fleet_run(&run, FleetPlan::Fixed(3_600));
         assert!(planned.in_vain * 3 < fixed.in_vain, "{} and {}", planned.in_vain, fixed.in_vain);
-        assert_eq!((planned.bare, fixed.bare), (0, 0), "it is back long before expiry");
+        assert_eq!((planned.bare, fixed.bare), (0, 0), "the outage ends long before expiry");
         assert!(planned.busiest_minute_back * 10 < fixed.busiest_minute_back);
     }
 }
--- a/crates/lemoncleat-lab/src/report.rs
+++ b/crates/lemoncleat-lab/src/report.rs
@@ -1,15 +1,15 @@
-//! The verdict as a table for people.
+//! Formats the verdict as a table.
 
 use std::fmt::Write;
 
 use crate::judge::Verdict;
 
-/// What the table shows.
+/// Parts that the table contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableOptions {
-    /// A line for each trouble.
+    /// One line for each trouble.
     pub troubles: bool,
-    /// Service in each five seconds.
+    /// Service in each window of five seconds.
     pub windows: bool,
 }
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// The verdict as text. All figures come from stand-ins: they are simulated.
+/// Returns the verdict as text. All figures come from stand-ins: they are simulated.
 pub fn table(verdict: &Verdict, options: TableOptions) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -50,11 +50,11 @@
             verdict.in_doubt
         );
     }
-    if let Some(told) = verdict.handshakes {
+    if let Some(handshakes) = verdict.handshakes {
         let _ = writeln!(
             text,
             "{} handshakes with nodes showed {} certificates, {} not valid then; {} came to nothing",
-            told.handshakes, told.certificates, told.not_valid, told.refused
+            handshakes.handshakes, handshakes.certificates, handshakes.not_valid, handshakes.refused
         );
     }
     if verdict.behind > 0 {
--- a/crates/lemoncleat-lab/src/script.rs
+++ b/crates/lemoncleat-lab/src/script.rs
@@ -1,11 +1,11 @@
-//! The settings file of a node in a rehearsal: the same text that an operator would write.
+//! Generates the settings file of a node in a run, in the format that operators write.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
 
 use crate::day::Day;
 
-/// The settings of one node of a day; `tls` is its form for TLS, or that for plain connections.
+/// Returns the settings of one node of a day; `tls` is the form that selects TLS or plain connections.
 pub fn node_settings(day: &Day, node: u16, feed: SocketAddr, clients: &[String], tls: &str) -> String {
     let mut text = String::new();
     let processor = &day.processor;
--- a/crates/lemoncleat-lab/src/server.rs
+++ b/crates/lemoncleat-lab/src/server.rs
@@ -17,22 +17,22 @@
 use crate::processor::{Job, Processor};
 use crate::Micros;
 
-/// Longest message that a stand-in reads.
-pub(crate) const MAX_MESSAGE: usize = 1 << 20;
-/// How often what its answers tell of its load is refreshed.
-const REPORT_EVERY: Micros = 250_000;
+/// Length limit of messages that a stand-in reads.
+pub(crate) const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Interval at which the load reported in answers is refreshed.
+const LOAD_REPORT_INTERVAL_US: Micros = 250_000;
 
-/// The name of a stand-in server.
+/// Returns the host name of a stand-in server.
 pub(crate) fn host(number: u16) -> String {
     format!("server-{number}.lab")
 }
 
-/// The number in a stand-in's or node's name, as in `node-2.lab`.
+/// Returns the number in the host name of a stand-in or node, as in `node-2.lab`.
 pub(crate) fn number_in(host: &str) -> Option<u16> {
     host.strip_suffix(".lab")?.rsplit('-').next()?.parse().ok()
 }
 
-/// A connection that a node made.
+/// A connection that a node opened.
 pub(crate) struct ServerConn {
     pub reader: FrameReader,
     pub peer: Option<Peer>,
@@ -46,23 +46,23 @@
     request: Vec<u8>,
     given_up: bool,
     standing: bool,
-    /// The node and its call on a trunk group.
+    /// Node and call number, if the server itself set the call up over a trunk group.
     far: Option<(u16, u64)>,
 }
 
-/// What a server asks its world for.
+/// Actions that a server requests from its environment.
 pub(crate) enum ServerOutput {
     Send(u64, Vec<u8>),
     Close(u64),
-    /// It was pushed over while cold.
-    Fell,
-    /// A call of its own toward a node stands.
-    FarStands(u16, u64),
-    /// A call of its own is to be tried again after a wait.
-    FarAgain(u16, u64, Micros),
+    /// The server failed from overload while cold.
+    Collapsed,
+    /// A call from this server to a node was established.
+    FarEstablished(u16, u64),
+    /// A call from this server is to be retried after a wait.
+    FarRetry(u16, u64, Micros),
 }
 
-/// What a server is made of.
+/// Parameters of a server.
 pub(crate) struct ServerSpec {
     pub number: u16,
     pub place: i64,
@@ -74,7 +74,8 @@
     pub tells_wait: bool,
     pub reports: (bool, bool),
     pub fall: (f64, Micros),
-    /// Circuits toward each node, and the share of seizures that it meets with its own.
+    /// Circuits toward each node, and the share of seizures that the server answers with a seizure of its
+    /// own.
     pub circuits: Option<(u32, f64)>,
 }
 
@@ -85,9 +86,9 @@
     pub up: bool,
     pub silent: bool,
     pub fallen: bool,
-    /// Nodes with which no message gets through.
+    /// Nodes with which messages are lost.
     pub dead_links: Vec<u16>,
-    /// Lines that are lost for now.
+    /// Number of lines currently out of use.
     pub lost_lines: u32,
     pub conns: BTreeMap<u64, ServerConn>,
     state_id: u32,
@@ -95,7 +96,7 @@
     by_name: BTreeMap<String, u64>,
     next_session: u64,
     arrivals: VecDeque<Micros>,
-    told: (Micros, Micros),
+    reported_wait: (Micros, Micros),
     requests: HopByHop<()>,
     seed: u64,
     /// Trunk groups by node.
@@ -119,7 +120,7 @@
             by_name: BTreeMap::new(),
             next_session: 0,
             arrivals: VecDeque::new(),
-            told: (Micros::MIN, 0),
+            reported_wait: (Micros::MIN, 0),
             requests: HopByHop::new(seed as u32),
             seed,
             trunks: BTreeMap::new(),
@@ -140,14 +141,14 @@
         })
     }
 
-    /// Calls that stand here.
+    /// Returns the number of standing calls.
     pub fn standing(&self) -> usize {
         self.sessions.values().filter(|session| session.standing).count()
     }
 
-    /// The names of calls that stand, in order.
+    /// Returns the names of standing calls, sorted.
     pub fn standing_names(&self) -> Vec<String> {
-        // One that was released before it stood is nobody's, even if the answer that would tell so was lost.
+        // A call that was released before it was established has no caller, even if its answer was lost.
         let standing = self.sessions.values().filter(|session| session.standing && !session.given_up);
         let mut names: Vec<String> = standing.map(|session| session.name.clone()).collect();
         names.sort();
@@ -155,16 +156,16 @@
     }
 
     pub fn accept(&mut self, conn: u64) {
-        let reader = FrameReader::new(MAX_MESSAGE);
+        let reader = FrameReader::new(MAX_MESSAGE_BYTES);
         self.conns.insert(conn, ServerConn { reader, peer: None, node: u16::MAX });
     }
 
-    /// Whether messages with a node get through.
+    /// Returns whether messages to and from a node are delivered.
     pub fn reachable(&self, node: u16) -> bool {
         !self.silent && !self.dead_links.contains(&node)
     }
 
-    /// A process starts: cold, without sessions.
+    /// Starts the server process, cold and without sessions.
     pub fn restart(&mut self, now: Micros) {
         self.up = true;
         self.fallen = false;
@@ -174,7 +175,7 @@
         self.arrivals.clear();
     }
 
-    /// The process is gone; the connections that it had.
+    /// Ends the server process and returns the connections that it had.
     pub fn stop(&mut self) -> Vec<u64> {
         self.up = false;
         self.spec.processor = Processor::new(self.spec.processor.settings().clone());
@@ -194,22 +195,22 @@
         }
     }
 
-    /// Ends all connections in order, for a cause.
+    /// Closes all connections with a Disconnect-Peer-Request of the given cause.
     pub fn disconnect(&mut self, now: Micros, cause: DisconnectCause, out: &mut Vec<ServerOutput>) {
         let mut conns: Vec<u64> = self.conns.keys().copied().collect();
         conns.sort_unstable();
         for conn in conns {
-            self.tell_peer(now, conn, PeerInput::Disconnect(cause), out);
+            self.drive_peer(now, conn, PeerInput::Disconnect(cause), out);
         }
     }
 
-    /// Lets peers look at the clock.
+    /// Runs the peers' and trunk groups' timers.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<ServerOutput>) {
         let due = |peer: &Peer| peer.due().is_some_and(|due| due <= now);
         let conns: Vec<u64> =
             self.conns.iter().filter(|(_, c)| c.peer.as_ref().is_some_and(due)).map(|(id, _)| *id).collect();
         for conn in conns {
-            self.tell_peer(now, conn, PeerInput::Timeout, out);
+            self.drive_peer(now, conn, PeerInput::Timeout, out);
         }
         let nodes: Vec<u16> = self.trunks.keys().copied().filter(|node| self.is_linked(*node)).collect();
         for node in nodes {
@@ -217,7 +218,7 @@
         }
     }
 
-    fn tell_peer(
+    fn drive_peer(
         &mut self,
         now: Micros,
         conn: u64,
@@ -241,7 +242,7 @@
         deliver
     }
 
-    /// A whole message came.
+    /// Handles a complete message.
     pub fn message(&mut self, now: Micros, conn: u64, bytes: &[u8], out: &mut Vec<ServerOutput>) {
         let Ok(message) = MessageRef::parse(bytes) else { return };
         let unknown = self.conns.get(&conn).is_some_and(|state| state.peer.is_none());
@@ -261,33 +262,33 @@
                 state.peer = Some(peer);
                 state.node = number_in(host).unwrap_or(u16::MAX);
             }
-            self.tell_peer(now, conn, PeerInput::Accepted(ConnId(conn), &message), out);
+            self.drive_peer(now, conn, PeerInput::Accepted(ConnId(conn), &message), out);
             if let Some((size, _)) = self.spec.circuits {
                 let node = self.conns.get(&conn).map_or(u16::MAX, |state| state.node);
                 let seed = self.rng.random();
-                let anew = !self.trunks.contains_key(&node);
+                let new_group = !self.trunks.contains_key(&node);
                 let host = self.host.clone();
                 let trunk =
                     self.trunks.entry(node).or_insert_with(|| FarTrunk::new(&host, node, size, now, seed));
                 let mut far = Vec::new();
-                trunk.open(now, anew, &mut far);
-                self.far(now, node, far, out);
+                trunk.open(now, new_group, &mut far);
+                self.handle_trunk_outputs(now, node, far, out);
             }
             return;
         }
-        if self.tell_peer(now, conn, PeerInput::Message(ConnId(conn), &message), out) {
+        if self.drive_peer(now, conn, PeerInput::Message(ConnId(conn), &message), out) {
             let node = self.conns.get(&conn).map_or(u16::MAX, |state| state.node);
-            let meets = self.spec.circuits.map_or(0.0, |(_, meets)| meets);
-            let met = meets > 0.0 && self.rng.random::<f64>() < meets;
+            let glare_share = self.spec.circuits.map_or(0.0, |(_, glare_share)| glare_share);
+            let glare = glare_share > 0.0 && self.rng.random::<f64>() < glare_share;
             if let Some(trunk) = self.trunks.get_mut(&node) {
                 let mut far = Vec::new();
                 let seizure = message.header.is_request() && message.header.command == d::CMD_AA;
-                if seizure && met {
-                    // A call of its own, at the same instant, on the very circuit.
+                if seizure && glare {
+                    // The server seizes the same circuit at the same time.
                     trunk.call(now, message.number(d::CIRCUIT_ID), &mut far);
                 }
                 let taken = trunk.message(now, &message, &mut far);
-                self.far(now, node, far, out);
+                self.handle_trunk_outputs(now, node, far, out);
                 if taken {
                     return;
                 }
@@ -308,17 +309,17 @@
         message.add_str(d::ORIGIN_HOST, &self.host).add_str(d::ORIGIN_REALM, "lab")
     }
 
-    /// What an answer tells of the load: the project's own AVPs, and a Load report of RFC 8583 beside them.
+    /// Adds the load to an answer: the project's own AVPs, and a Load report of RFC 8583 with them.
     fn report(&mut self, now: Micros, mut answer: MessageBuilder) -> MessageBuilder {
         let (wait, lines) = self.spec.reports;
         if wait {
-            if now.saturating_sub(self.told.0) >= REPORT_EVERY {
-                self.told = (now, self.spec.processor.wait(now));
+            if now.saturating_sub(self.reported_wait.0) >= LOAD_REPORT_INTERVAL_US {
+                self.reported_wait = (now, self.spec.processor.wait(now));
             }
-            let ms = u32::try_from(self.told.1 / 1_000).unwrap_or(u32::MAX);
+            let ms = u32::try_from(self.reported_wait.1 / 1_000).unwrap_or(u32::MAX);
             answer = answer.add_u32(d::PROCESSOR_WAIT, ms);
             let queue = self.spec.processor.settings().queue.max(1);
-            let used = (self.told.1 as f64 / queue as f64).min(1.0);
+            let used = (self.reported_wait.1 as f64 / queue as f64).min(1.0);
             let load = GroupBuilder::new()
                 .add_u32(d::LOAD_TYPE, 0)
                 .add(d::LOAD_VALUE, &((65_535.0 * (1.0 - used)) as u64).to_be_bytes())
@@ -337,8 +338,14 @@
         (self.spec.lines - self.lost_lines).saturating_sub(self.sessions.len() as u32)
     }
 
-    /// Carries out what a trunk group asks for.
-    fn far(&mut self, now: Micros, node: u16, outputs: Vec<FarOutput>, out: &mut Vec<ServerOutput>) {
+    /// Carries out the actions that a trunk group requests.
+    fn handle_trunk_outputs(
+        &mut self,
+        now: Micros,
+        node: u16,
+        outputs: Vec<FarOutput>,
+        out: &mut Vec<ServerOutput>,
+    ) {
         for output in outputs {
             match output {
                 FarOutput::Send(bytes) => {
@@ -351,17 +358,17 @@
                         self.set_up(now, conn, &message, Some((node, call)), out);
                     }
                 }
-                FarOutput::Over(name) => {
+                FarOutput::Ended(name) => {
                     if let Some(id) = self.by_name.get(&name).copied() {
                         match self.sessions.get(&id).map(|session| session.standing) {
                             Some(true) => self.spec.processor.push(now, Job::Release(id)),
                             _ => self.spec.processor.drop_set_up(id),
                         }
-                        self.forget(id);
+                        self.remove_session(id);
                     }
                 }
-                FarOutput::Stands(call) => out.push(ServerOutput::FarStands(node, call)),
-                FarOutput::Again(call, wait) => out.push(ServerOutput::FarAgain(node, call, wait)),
+                FarOutput::Established(call) => out.push(ServerOutput::FarEstablished(node, call)),
+                FarOutput::Retry(call, wait) => out.push(ServerOutput::FarRetry(node, call, wait)),
             }
         }
     }
@@ -372,13 +379,13 @@
         self.conns.iter().filter(|(_, state)| open(state)).map(|(conn, _)| *conn).max()
     }
 
-    /// Whether a connection with a node is open.
+    /// Returns whether a connection with a node is open.
     pub fn is_linked(&self, node: u16) -> bool {
         self.conn_of(node).is_some()
     }
 
-    /// Lets the trunk group toward a node act for this end. What it sends without a connection, it sends again on the
-    /// next one.
+    /// Runs `act` on the trunk group toward a node. Messages that it sends without a connection are sent
+    /// again on the next one.
     pub fn with_trunk(
         &mut self,
         now: Micros,
@@ -389,7 +396,7 @@
         if let Some(trunk) = self.trunks.get_mut(&node) {
             let mut far = Vec::new();
             act(trunk, &mut far);
-            self.far(now, node, far, out);
+            self.handle_trunk_outputs(now, node, far, out);
         }
     }
 
@@ -401,9 +408,9 @@
         far: Option<(u16, u64)>,
         out: &mut Vec<ServerOutput>,
     ) {
-        if self.pushed_over(now) {
+        if self.collapses_under_load(now) {
             self.fallen = true;
-            out.push(ServerOutput::Fell);
+            out.push(ServerOutput::Collapsed);
             return;
         }
         let wait = self.spec.processor.wait(now);
@@ -446,8 +453,9 @@
         self.spec.processor.push(now, Job::SetUp(id, now));
     }
 
-    /// Set-ups beyond the multiple of what a cold process can do push it over.
-    fn pushed_over(&mut self, now: Micros) -> bool {
+    /// Counts a set-up and returns whether the set-ups of the last span exceed the multiple of a cold
+    /// process's capacity, at which it fails.
+    fn collapses_under_load(&mut self, now: Micros) -> bool {
         let warmth = self.spec.processor.warmth(now);
         if warmth >= 1.0 {
             return false;
@@ -470,17 +478,17 @@
         let Some(session) = self.sessions.get_mut(&id) else { return };
         if session.standing {
             self.spec.processor.push(now, Job::Release(id));
-            self.forget(id);
+            self.remove_session(id);
             return;
         }
         session.given_up = true;
         if self.spec.drops_given_up {
             self.spec.processor.drop_set_up(id);
-            self.forget(id);
+            self.remove_session(id);
         }
     }
 
-    fn forget(&mut self, id: u64) {
+    fn remove_session(&mut self, id: u64) {
         if let Some(session) = self.sessions.remove(&id) {
             if self.by_name.get(&session.name) == Some(&id) {
                 self.by_name.remove(&session.name);
@@ -488,25 +496,25 @@
         }
     }
 
-    /// Takes what the processor has done by now.
+    /// Handles the jobs that the processor has finished by now.
     pub fn work(&mut self, now: Micros, out: &mut Vec<ServerOutput>) {
         while let Some(job) = self.spec.processor.pop(now) {
             let Job::SetUp(id, _) = job else { continue };
             let Some(session) = self.sessions.get_mut(&id) else { continue };
             if !self.conns.contains_key(&session.conn) {
-                // Its answer has nowhere to go.
-                self.forget(id);
+                // The connection for its answer is closed.
+                self.remove_session(id);
                 continue;
             }
             if let Some((node, call)) = session.far {
                 if !self.trunks.get_mut(&node).is_some_and(|trunk| trunk.accepted(call)) {
-                    // Its circuit is gone meanwhile.
-                    self.forget(id);
+                    // Its circuit was released in the meantime.
+                    self.remove_session(id);
                     continue;
                 }
             }
             let Some(session) = self.sessions.get_mut(&id) else { continue };
-            // A set-up that was given up is worked on all the same, and its answer comes late.
+            // A set-up that was given up is still processed, and its answer is late.
             session.standing = true;
             let (conn, request) = (session.conn, std::mem::take(&mut session.request));
             self.spec.processor.push(now, Job::Answer);
@@ -522,7 +530,7 @@
         }
     }
 
-    /// Cuts a standing call: the node is told with an Abort-Session-Request.
+    /// Cuts a standing call and notifies the node with an Abort-Session-Request.
     fn cut(&mut self, now: Micros, id: u64, out: &mut Vec<ServerOutput>) {
         let Some(session) = self.sessions.get(&id) else { return };
         let (conn, name) = (session.conn, session.name.clone());
@@ -531,8 +539,8 @@
             if let Some(trunk) = self.trunks.get_mut(&node) {
                 trunk.cut(now, &name, &mut far);
             }
-            self.forget(id);
-            return self.far(now, node, far, out);
+            self.remove_session(id);
+            return self.handle_trunk_outputs(now, node, far, out);
         }
         let node = self.conns.get(&conn).map_or(u16::MAX, |state| state.node);
         let hop_by_hop = self.requests.begin(());
@@ -544,23 +552,23 @@
             .add_str(d::DESTINATION_HOST, &format!("node-{node}.lab"))
             .add_u32(d::AUTH_APPLICATION_ID, d::APP_NAS);
         out.push(ServerOutput::Send(conn, request.build()));
-        self.forget(id);
+        self.remove_session(id);
     }
 
-    /// Cuts a share of the calls that stand, in order of their coming.
+    /// Cuts a share of the standing calls, spread over them in order of arrival.
     pub fn cut_share(&mut self, now: Micros, share: f64, out: &mut Vec<ServerOutput>) {
         let mut standing: Vec<u64> =
             self.sessions.iter().filter(|(_, s)| s.standing).map(|(id, _)| *id).collect();
         standing.sort_unstable();
         for (index, id) in standing.into_iter().enumerate() {
-            // Spread evenly over old and young calls.
+            // Spread evenly over old and new calls.
             if ((index + 1) as f64 * share).floor() > (index as f64 * share).floor() || share >= 1.0 {
                 self.cut(now, id, out);
             }
         }
     }
 
-    /// Loses lines: calls beyond what is left are cut.
+    /// Takes lines out of use and cuts the calls beyond those that remain.
     pub fn lose_lines(&mut self, now: Micros, keep: f64, out: &mut Vec<ServerOutput>) {
         self.lost_lines = self.spec.lines - (f64::from(self.spec.lines) * keep) as u32;
         let left = (self.spec.lines - self.lost_lines) as usize;
--- a/crates/lemoncleat-lab/src/wire.rs
+++ b/crates/lemoncleat-lab/src/wire.rs
@@ -1,4 +1,4 @@
-//! What carries a laboratory's connections, and its clock: sockets in a rehearsal, a simulated network elsewhere.
+//! The interface to a lab's connections and clock: sockets in a run on loopback, or a simulated network.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,43 +7,43 @@
 
 use crate::Micros;
 
-/// Connections by number, as [`lemoncleat_net::Net`] has them, without the waiting: what happens is told to
-/// [`crate::World::event`].
+/// Connections by number, as in [`lemoncleat_net::Net`], but without waiting for events: the owner passes
+/// events to [`crate::World::event`].
 pub trait Wire {
-    /// The time.
+    /// Returns the time.
     fn now(&self) -> Micros;
 
-    /// Accepts connections under a tag; where.
+    /// Accepts connections under a tag and returns the address.
     ///
     /// # Errors
     ///
-    /// When no address is to be had.
+    /// Fails if no address can be bound.
     fn listen(&mut self, tag: u64, tls: Option<Arc<ServerConfig>>) -> std::io::Result<SocketAddr>;
 
-    /// Dials.
+    /// Dials an address under a tag.
     fn dial(&mut self, address: SocketAddr, tag: u64, tls: Option<(ServerName<'static>, Arc<ClientConfig>)>);
 
-    /// Gives up the dial with this tag.
+    /// Cancels the dial with this tag.
     fn stop_dial(&mut self, tag: u64);
 
-    /// Gives bytes to a connection.
+    /// Queues bytes on a connection.
     fn send(&mut self, conn: u64, bytes: &[u8]);
 
-    /// Closes a connection after what was given for it.
+    /// Closes a connection after its queued bytes are sent.
     fn close(&mut self, conn: u64);
 
-    /// Closes a connection at once, as a process that was killed would.
+    /// Aborts a connection at once, as when a process is killed.
     fn abort(&mut self, conn: u64);
 
-    /// Lets go what was given.
+    /// Sends the queued bytes.
     fn flush(&mut self) {}
 
-    /// The certificate (DER) that the other end showed.
+    /// Returns the certificate (DER) that the other end presented.
     fn peer_certificate(&self, _conn: u64) -> Option<Vec<u8>> {
         None
     }
 
-    /// The names in it.
+    /// Returns the names in that certificate.
     fn peer_names(&self, _conn: u64) -> Option<Vec<String>> {
         None
     }
--- a/crates/lemoncleat-lab/src/world.rs
+++ b/crates/lemoncleat-lab/src/world.rs
@@ -1,4 +1,4 @@
-//! The rehearsal: stand-ins, script and capture in one event loop.
+//! The test environment of access nodes: stand-ins, script and capture in one event loop.
 
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt;
@@ -15,45 +15,45 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::caller::{Caller, CallerState, Front, Sent, SetUp};
+use crate::caller::{Caller, CallerState, Front, Outstanding, SetUp};
 use crate::capture::{ClassFacts, End, Facts, Record};
-use crate::credentials::{wall, Credentials};
+use crate::credentials::{unix_seconds, Credentials};
 use crate::day::{Day, Trouble, TroubleKind};
 use crate::list::{Entry, Feed, Listed};
 use crate::processor::{Processor, ProcessorSettings};
 use crate::script::node_settings;
-use crate::server::{host as server_host, Server, ServerOutput, ServerSpec, MAX_MESSAGE};
+use crate::server::{host as server_host, Server, ServerOutput, ServerSpec, MAX_MESSAGE_BYTES};
 use crate::wire::Wire;
 use crate::Micros;
 
-/// How often peers look at the clock.
-const PEER_TICK: Micros = 50_000;
-/// How often the loop looks whether it gets its turns, and how late it may be before it says so.
-const BEAT: Micros = 5_000;
-const BEHIND: Micros = 5_000;
-/// Moments of two stand-ins are this near: both are read by the one loop.
-const SKEW: Micros = 15_000;
-/// Rule 1: how long past the deadline an answer still counts, as on the operators' bench.
-const ANSWER_GRACE: Micros = 20_000;
-
-/// A node that was started for a rehearsal.
+/// Interval at which the timers of peers are checked.
+const PEER_TICK_US: Micros = 50_000;
+/// Interval at which the event loop checks for its own delay, and the delay above which it is recorded.
+const LOOP_CHECK_INTERVAL_US: Micros = 5_000;
+const LOOP_DELAY_LIMIT_US: Micros = 5_000;
+/// Upper limit of the difference between recorded times of two stand-ins; one loop reads both.
+const CLOCK_SKEW_US: Micros = 15_000;
+/// Rule 1: time past the deadline in which an answer still counts, as on the operators' bench.
+const ANSWER_GRACE_US: Micros = 20_000;
+
+/// A running node under test.
 pub trait NodeControl: Send {
-    /// Where it listens.
+    /// Returns the address on which the node listens.
     fn address(&self) -> SocketAddr;
-    /// Its control port, if it has one.
+    /// Returns the address of its control port, if it has one.
     fn control(&self) -> Option<SocketAddr>;
-    /// Where it serves files that prove its name, if it does.
+    /// Returns the address at which it serves challenge files that prove its name, if it does.
     fn challenge(&self) -> Option<SocketAddr>;
-    /// It gets no turn for a while.
+    /// Stalls the node for a time.
     fn stall(&self, time: Duration);
-    /// It is stopped in order; returns when it has ended.
+    /// Stops the node gracefully and returns when it has ended.
     fn stop(self: Box<Self>);
 }
 
 /// Starts a node from the text of its settings file.
 pub type StartNode<'a> = &'a dyn Fn(&str) -> Result<Box<dyn NodeControl>, String>;
 
-/// A rehearsal that did not come about.
+/// A reason why a run could not start.
 #[derive(Debug)]
 pub enum RehearseError {
     /// A socket failed.
@@ -62,7 +62,7 @@
     Node(String),
     /// The stand-in authority or a certificate could not be made.
     Certificates(String),
-    /// The connections did not come about in time.
+    /// The connections were not established in time.
     NotOpen(String),
 }
 
@@ -94,39 +94,39 @@
     HangUp(usize),
     Begin(usize),
     Finish(usize),
-    /// A step of a trouble that goes on.
+    /// The next step of a trouble with several steps.
     Step(usize, u32),
     /// A server sets up a call of its own toward a node.
     FarCall(usize, u16),
-    FarAgain(usize, u16, u64),
+    FarRetry(usize, u16, u64),
     FarHangUp(usize, u16, u64),
-    /// A change is due at a node's feed.
+    /// A change is to be sent on a node's feed.
     Publish(u16),
-    /// A witness looks at a node's certificate.
+    /// The witness dials a node to record its certificate.
     Witness(u16),
-    /// A front-end ends its connection and comes back.
+    /// A front-end closes its connection and dials again.
     Rehandshake(usize),
     Peers,
-    /// Shows whether this loop itself gets its turns.
-    Beat,
-    Fashion,
-    Last,
+    /// Checks for delays of the event loop.
+    LoopCheck,
+    PopularPlace,
+    EndOfDay,
 }
 
 #[derive(PartialEq, Eq)]
-struct Due {
+struct ScheduledTick {
     at: Micros,
-    order: u64,
+    sequence: u64,
     tick: Tick,
 }
 
-impl Ord for Due {
+impl Ord for ScheduledTick {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.at, other.order).cmp(&(self.at, self.order))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledTick {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
@@ -140,23 +140,23 @@
     Witness,
 }
 
-/// Tags of listeners and dials: which stand-in they belong to.
+/// Tags of listeners and dials, by the stand-in that they belong to.
 const TAG_FEED: u64 = 1 << 32;
 const TAG_FRONT: u64 = 1 << 33;
 const TAG_WITNESS: u64 = 1 << 34;
 
-/// What may be told to a laboratory that is up.
+/// Messages to a running lab.
 #[derive(Debug)]
 pub enum LabMessage {
-    /// End it.
+    /// Ends the lab.
     Stop,
-    /// No more calls arrive; the day is over after its tail.
+    /// Ends arrivals; the day ends after its tail.
     LastCall,
-    /// A node of it has ended.
+    /// A node of the lab has ended.
     NodeEnded,
 }
 
-/// TLS of a rehearsal, with the identities of those who dial nodes.
+/// TLS of a run, with the identities of the stand-ins that dial nodes.
 pub(crate) struct Tls {
     pub credentials: Credentials,
     fronts: Vec<Identity>,
@@ -174,20 +174,20 @@
     }
 }
 
-/// The laboratory around some access nodes, on whatever carries its connections.
+/// The environment of some access nodes: stand-in servers, front-ends, callers and feeds, over any [`Wire`].
 pub struct World<W> {
     pub(crate) day: Day,
     pub(crate) wire: W,
     pub(crate) tls: Option<Tls>,
-    /// When arrivals began.
+    /// Time at which arrivals began.
     pub(crate) zero: Micros,
-    due: BinaryHeap<Due>,
-    order: u64,
+    due: BinaryHeap<ScheduledTick>,
+    sequence: u64,
     rng: SmallRng,
     pub(crate) records: Vec<Record>,
     owners: BTreeMap<u64, Owner>,
     pub(crate) servers: Vec<Server>,
-    /// For each server of the script, the one in its place now.
+    /// Index of the current server of each place of the script; replacements change it.
     in_place: Vec<usize>,
     pub(crate) fronts: Vec<Front>,
     feeds: Vec<Feed>,
@@ -196,7 +196,7 @@
     list_lag: Micros,
     pub(crate) callers: Vec<Caller>,
     surge: f64,
-    fashion: usize,
+    popular_place: usize,
     pub(crate) nodes: Vec<Box<dyn NodeControl>>,
     next_id: u32,
     cutting: bool,
@@ -206,11 +206,11 @@
 }
 
 impl<W: Wire> World<W> {
-    /// The stand-ins of a day, with nodes that are started from their settings.
+    /// Creates the stand-ins of a day and starts the nodes from their settings.
     ///
     /// # Errors
     ///
-    /// When an address is not to be had or a node does not start.
+    /// Fails if an address can't be bound or a node does not start.
     pub fn build(
         day: Day,
         mut wire: W,
@@ -243,7 +243,7 @@
             let text = node_settings(&day, node, address, &clients, &form);
             let started = start(&text).map_err(RehearseError::Node)?;
             if let Some(tls) = &tls {
-                tls.credentials.place(node, started.address(), started.challenge());
+                tls.credentials.register_node(node, started.address(), started.challenge());
             }
             nodes.push(started);
         }
@@ -263,12 +263,12 @@
                     late_worth: class.late_worth,
                 })
                 .collect(),
-            answer_grace: ANSWER_GRACE,
+            answer_grace: ANSWER_GRACE_US,
             drain_grace: day.drain_grace.0,
             fall_multiple: processor.fall_multiple,
             fall_span: processor.fall_span.0,
             release: day.release.0,
-            skew: SKEW,
+            skew: CLOCK_SKEW_US,
         };
         let in_place = (0..servers.len()).collect();
         let pending = vec![Vec::new(); feeds.len()];
@@ -277,7 +277,7 @@
             tls,
             zero: 0,
             due: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             rng,
             records: vec![Record::Facts(facts)],
             owners: BTreeMap::new(),
@@ -290,7 +290,7 @@
             list_lag: 0,
             callers: Vec::new(),
             surge: 1.0,
-            fashion: 0,
+            popular_place: 0,
             nodes,
             next_id: 1,
             cutting: false,
@@ -305,23 +305,23 @@
         self.wire.now()
     }
 
-    fn at(&mut self, at: Micros, tick: Tick) {
-        self.order += 1;
-        self.due.push(Due { at, order: self.order, tick });
+    fn schedule(&mut self, at: Micros, tick: Tick) {
+        self.sequence += 1;
+        self.due.push(ScheduledTick { at, sequence: self.sequence, tick });
     }
 
-    // ---- The course of a day ----
+    // ---- Course of a day ----
 
-    /// Front-ends begin to dial; the day's clock does not run yet.
+    /// Lets front-ends dial, before the day begins.
     pub fn connect(&mut self) {
         let now = self.now();
-        self.at(now, Tick::Peers);
+        self.schedule(now, Tick::Peers);
         for index in 0..self.fronts.len() {
-            self.tell_front(index, PeerInput::Start);
+            self.drive_front(index, PeerInput::Start);
         }
     }
 
-    /// Front-ends and servers that still wait for connections with the nodes.
+    /// Returns the numbers of front-ends and of servers that lack connections with nodes.
     pub fn unconnected(&self) -> (usize, usize) {
         let fronts = self.fronts.iter().filter(|front| front.open().is_none()).count();
         let open = |server: &Server| {
@@ -331,32 +331,32 @@
         (fronts, servers)
     }
 
-    /// The day begins: calls arrive from now on, troubles come at their moments. How long it lasts.
+    /// Begins the day: schedules arrivals and troubles. Returns the length of the day with its tail.
     pub fn begin_day(&mut self) -> Micros {
         self.zero = self.now();
         let zero = self.zero;
-        self.at(zero, Tick::Arrival);
-        self.at(zero, Tick::Fashion);
-        self.at(zero, Tick::Beat);
+        self.schedule(zero, Tick::Arrival);
+        self.schedule(zero, Tick::PopularPlace);
+        self.schedule(zero, Tick::LoopCheck);
         for place in 0..self.in_place.len() {
             for node in 0..self.day.nodes {
-                self.at(zero, Tick::FarCall(place, node));
+                self.schedule(zero, Tick::FarCall(place, node));
             }
         }
         for (number, trouble) in self.day.troubles.clone().into_iter().enumerate() {
-            self.at(zero + trouble.at.0, Tick::Begin(number));
+            self.schedule(zero + trouble.at.0, Tick::Begin(number));
         }
         if self.tls.is_some() {
             for node in 0..self.day.nodes {
-                self.at(zero, Tick::Witness(node));
+                self.schedule(zero, Tick::Witness(node));
             }
         }
         let last = self.day.length.0 + self.day.tail.0;
-        self.at(zero + last, Tick::Last);
+        self.schedule(zero + last, Tick::EndOfDay);
         last
     }
 
-    /// When [`World::advance`] is due.
+    /// Returns the time at which [`World::advance`] must be called next.
     pub fn due(&self) -> Option<Micros> {
         let working = self.servers.iter().filter(|server| server.up && !server.fallen);
         let processors = working.filter_map(|server| server.spec.processor.due()).min();
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Does all that is due; `false` once the day is over.
+    /// Performs everything that is due. Returns `false` once the day is over.
     pub fn advance(&mut self) -> bool {
         let now = self.now();
         for index in 0..self.servers.len() {
@@ -379,10 +379,10 @@
         }
         while self.due.peek().is_some_and(|due| due.at <= now) {
             let Some(due) = self.due.pop() else { break };
-            if due.tick == Tick::Last {
+            if due.tick == Tick::EndOfDay {
                 return false;
             }
-            if due.tick == Tick::Beat && now - due.at > BEHIND {
+            if due.tick == Tick::LoopCheck && now - due.at > LOOP_DELAY_LIMIT_US {
                 self.records.push(Record::Behind { from: due.at, at: now });
             }
             self.tick(due.tick);
@@ -390,7 +390,7 @@
         true
     }
 
-    /// Everybody hangs up.
+    /// Ends all calls from both sides.
     pub fn hang_up_all(&mut self) {
         let now = self.now();
         for id in 0..self.callers.len() {
@@ -401,43 +401,43 @@
         }
         for index in 0..self.servers.len() {
             for node in 0..self.day.nodes {
-                self.far(now, index, node, |trunk, far| trunk.hang_up_all(now, far));
+                self.with_far_trunk(now, index, node, |trunk, far| trunk.hang_up_all(now, far));
             }
         }
     }
 
-    /// Circuits in use at servers that are up, in words.
+    /// Describes the circuits in use at servers that are up.
     pub fn circuits_in_use(&self) -> Vec<String> {
         let up = self.servers.iter().filter(|server| server.up);
         let trunks =
             up.flat_map(|server| server.trunks.iter().map(move |(node, trunk)| (server, node, trunk)));
-        let told = |(server, node, trunk): (&Server, &u16, &crate::far::FarTrunk)| {
+        let describe = |(server, node, trunk): (&Server, &u16, &crate::far::FarTrunk)| {
             let circuits = trunk.busy().into_iter();
             let text =
                 |(circuit, state)| format!("{circuit} of {} toward node {node} {state:?}", server.host);
             circuits.map(text).collect::<Vec<String>>()
         };
-        trunks.flat_map(told).collect()
+        trunks.flat_map(describe).collect()
     }
 
-    /// Calls that stand at servers that are up: which, at which server.
+    /// Returns the standing calls at servers that are up, as server and session.
     pub fn standing_calls(&self) -> Vec<(String, String)> {
         let up = self.servers.iter().filter(|server| server.up);
         up.flat_map(|s| s.standing_names().into_iter().map(|name| (s.host.clone(), name))).collect()
     }
 
-    /// The front-end that dials under a tag.
+    /// Returns the front-end that dials under a tag.
     pub fn front_of(&self, tag: u64) -> Option<u16> {
         let number = u16::try_from(tag.checked_sub(TAG_FRONT)?).ok()?;
         (usize::from(number) < self.fronts.len()).then_some(number)
     }
 
-    /// Calls that stand at servers that are up.
+    /// Returns the number of standing calls at servers that are up.
     pub fn standing(&self) -> usize {
         self.servers.iter().filter(|server| server.up).map(Server::standing).sum()
     }
 
-    /// What was recorded since the last time.
+    /// Returns the records made since the previous call.
     pub fn take_records(&mut self) -> Vec<Record> {
         std::mem::take(&mut self.records)
     }
@@ -451,8 +451,8 @@
                 if self.callers[caller].tries == number
                     && matches!(self.callers[caller].state, CallerState::Trying(..))
                 {
-                    // Whoever gives up waiting says nothing: the deadline was told with the request.
-                    self.again(now, caller);
+                    // A caller that gives up sends nothing: the request stated its deadline.
+                    self.retry_or_end(now, caller);
                 }
             }
             Tick::Leave(caller, number) => {
@@ -469,26 +469,26 @@
                 }
             }
             Tick::FarCall(server, node) => self.far_call(now, server, node),
-            Tick::FarAgain(server, node, call) if self.servers[server].is_linked(node) => {
-                self.far(now, server, node, |trunk, far| trunk.seize_again(now, call, far));
+            Tick::FarRetry(server, node, call) if self.servers[server].is_linked(node) => {
+                self.with_far_trunk(now, server, node, |trunk, far| trunk.retry_seizure(now, call, far));
             }
-            Tick::FarAgain(..) => {}
+            Tick::FarRetry(..) => {}
             Tick::FarHangUp(server, node, call) => {
-                self.far(now, server, node, |trunk, far| trunk.hang_up(now, call, far));
+                self.with_far_trunk(now, server, node, |trunk, far| trunk.hang_up(now, call, far));
             }
-            Tick::Begin(number) => self.begin(now, number),
-            Tick::Finish(number) => self.end(now, number),
+            Tick::Begin(number) => self.begin_trouble(now, number),
+            Tick::Finish(number) => self.end_trouble(now, number),
             Tick::Step(number, step) => self.step(now, number, step),
             Tick::Publish(node) => self.publish(now, node),
             Tick::Witness(node) => {
                 let every = self.day.certificates.as_ref().map_or(1_000_000, |day| day.witness.0.max(10_000));
-                self.at(now + every, Tick::Witness(node));
+                self.schedule(now + every, Tick::Witness(node));
                 let identity = self.tls.as_ref().map(|tls| tls.witness.clone());
                 self.dial_node(TAG_WITNESS + u64::from(node), node, identity);
             }
             Tick::Rehandshake(front) => {
                 if self.fronts[front].open().is_some() {
-                    self.tell_front(front, PeerInput::Disconnect(DisconnectCause::Rebooting));
+                    self.drive_front(front, PeerInput::Disconnect(DisconnectCause::Rebooting));
                 }
             }
             Tick::Peers => {
@@ -499,24 +499,24 @@
                 }
                 for index in 0..self.fronts.len() {
                     if self.fronts[index].peer.due().is_some_and(|due| due <= now) {
-                        self.tell_front(index, PeerInput::Timeout);
+                        self.drive_front(index, PeerInput::Timeout);
                     }
                 }
-                self.at(now + PEER_TICK, Tick::Peers);
+                self.schedule(now + PEER_TICK_US, Tick::Peers);
             }
-            Tick::Fashion => {
-                self.fashion = self.rng.random_range(0..self.in_place.len());
+            Tick::PopularPlace => {
+                self.popular_place = self.rng.random_range(0..self.in_place.len());
                 let next = self.rng.random_range(6_000_000..10_000_000);
-                self.at(now + next, Tick::Fashion);
+                self.schedule(now + next, Tick::PopularPlace);
             }
-            Tick::Beat => self.at(now + BEAT, Tick::Beat),
-            Tick::Last => {}
+            Tick::LoopCheck => self.schedule(now + LOOP_CHECK_INTERVAL_US, Tick::LoopCheck),
+            Tick::EndOfDay => {}
         }
     }
 
     // ---- Connections ----
 
-    /// Something happened on a connection.
+    /// Handles an event of a connection or a message to the lab.
     pub fn event(&mut self, event: Event<LabMessage>) {
         let now = self.now();
         match event {
@@ -528,15 +528,15 @@
                 self.owners.insert(conn, Owner::Feed(node));
                 self.feeds[usize::from(node)].conn = Some(conn);
                 let line = self.feeds[usize::from(node)].complete(now);
-                let told: Vec<Entry> = self.feeds[usize::from(node)].view.values().cloned().collect();
-                for entry in &told {
-                    self.listed(now, node, entry);
+                let entries: Vec<Entry> = self.feeds[usize::from(node)].view.values().cloned().collect();
+                for entry in &entries {
+                    self.record_listed(now, node, entry);
                 }
                 self.wire.send(conn, &line);
             }
             Event::Accepted { tag, conn } => {
                 let index = tag as usize;
-                self.shown(conn, None);
+                self.record_certificate(conn, None);
                 if !self.servers[index].up || self.servers[index].fallen {
                     return self.wire.abort(conn);
                 }
@@ -544,8 +544,8 @@
                 self.servers[index].accept(conn);
             }
             Event::Dialled { tag, conn } if tag >= TAG_WITNESS => {
-                self.shown(conn, Some((tag - TAG_WITNESS) as u16));
-                // It has seen what it came for.
+                self.record_certificate(conn, Some((tag - TAG_WITNESS) as u16));
+                // The certificate is recorded; the connection has no other use.
                 self.owners.insert(conn, Owner::Witness);
                 self.wire.close(conn);
             }
@@ -555,14 +555,14 @@
             }
             Event::Dialled { tag, conn } => {
                 let index = (tag - TAG_FRONT) as usize;
-                self.shown(conn, Some(self.fronts[index].node));
+                self.record_certificate(conn, Some(self.fronts[index].node));
                 self.owners.insert(conn, Owner::Front(index));
                 self.fronts[index].conn = Some(conn);
-                self.fronts[index].reader = FrameReader::new(MAX_MESSAGE);
-                self.tell_front(index, PeerInput::Dialled(ConnId(conn)));
+                self.fronts[index].reader = FrameReader::new(MAX_MESSAGE_BYTES);
+                self.drive_front(index, PeerInput::Dialled(ConnId(conn)));
             }
             Event::DialFailed { tag, .. } => {
-                self.tell_front((tag - TAG_FRONT) as usize, PeerInput::DialFailed);
+                self.drive_front((tag - TAG_FRONT) as usize, PeerInput::DialFailed);
             }
             Event::Bytes { conn, bytes } => self.bytes(now, conn, &bytes),
             Event::Closed { conn } => match self.owners.remove(&conn) {
@@ -573,7 +573,7 @@
                 }
                 Some(Owner::Front(index)) => {
                     self.records.push(Record::Closed { at: now, end: End::Client(index as u16), conn });
-                    self.tell_front(index, PeerInput::Closed(ConnId(conn)));
+                    self.drive_front(index, PeerInput::Closed(ConnId(conn)));
                 }
                 Some(Owner::Feed(node)) if self.feeds[usize::from(node)].conn == Some(conn) => {
                     self.feeds[usize::from(node)].conn = None;
@@ -582,7 +582,7 @@
             },
             Event::Message(LabMessage::LastCall) => {
                 self.day.length = lemoncleat_settings::Span(now - self.zero);
-                self.at(now + self.day.tail.0, Tick::Last);
+                self.schedule(now + self.day.tail.0, Tick::EndOfDay);
             }
             Event::Message(_) => {}
         }
@@ -637,20 +637,21 @@
         }
     }
 
-    /// Which certificate a node showed in a handshake; who it was stands in it where a stand-in was dialled.
-    fn shown(&mut self, conn: u64, node: Option<u16>) {
+    /// Records the certificate that a node presented in a handshake. Where the node dialled, its name is
+    /// taken from the certificate.
+    fn record_certificate(&mut self, conn: u64, node: Option<u16>) {
         let Some(validity) = self.wire.peer_certificate(conn).and_then(|der| validity_of(&der)) else {
             return;
         };
         let named = || self.wire.peer_names(conn)?.iter().find_map(|name| crate::server::number_in(name));
         if let Some(node) = node.or_else(named) {
-            self.records.push(Record::Handshake { at: self.now(), node, wall: wall(), validity });
+            self.records.push(Record::Handshake { at: self.now(), node, wall: unix_seconds(), validity });
         }
     }
 
-    /// Dials a node, with TLS where the day has it.
+    /// Dials a node, with TLS if the day uses it.
     fn dial_node(&mut self, tag: u64, node: u16, identity: Option<Identity>) {
-        // At the end of a day the nodes are gone.
+        // At the end of a day the nodes are already removed.
         let Some(address) = self.nodes.get(usize::from(node)).map(|node| node.address()) else { return };
         let tls = self.tls.as_ref().zip(identity).and_then(|(tls, identity)| {
             let name = ServerName::try_from(format!("node-{node}.lab")).ok()?;
@@ -659,7 +660,8 @@
         self.wire.dial(address, tag, tls);
     }
 
-    /// Carries out what a server asked for. What a silent server or a dead link would send never leaves.
+    /// Carries out the actions that a server requested. Messages of a silent server or over a dead link are
+    /// dropped.
     fn perform(&mut self, index: usize, out: Vec<ServerOutput>) {
         let now = self.now();
         let end = End::Server(self.servers[index].spec.number);
@@ -680,16 +682,16 @@
                     self.wire.close(conn);
                     self.servers[index].closed(now, conn);
                 }
-                ServerOutput::FarStands(node, call) => {
+                ServerOutput::FarEstablished(node, call) => {
                     let mean = self.day.circuits.as_ref().map_or(1, |circuits| circuits.far_length.0) as f64;
                     let length = (-self.rng.random::<f64>().max(1e-12).ln() * mean) as Micros;
                     self.far_stood += 1;
-                    self.at(now + length, Tick::FarHangUp(index, node, call));
+                    self.schedule(now + length, Tick::FarHangUp(index, node, call));
                 }
-                ServerOutput::FarAgain(node, call, wait) => {
-                    self.at(now + wait, Tick::FarAgain(index, node, call))
+                ServerOutput::FarRetry(node, call, wait) => {
+                    self.schedule(now + wait, Tick::FarRetry(index, node, call))
                 }
-                ServerOutput::Fell => {
+                ServerOutput::Collapsed => {
                     self.records.push(Record::Fell { at: now, server: self.servers[index].spec.number });
                     self.kill(index);
                     self.servers[index].fallen = true;
@@ -698,7 +700,7 @@
         }
     }
 
-    /// A server's process is gone at once, with its connections.
+    /// Kills a server's process and aborts its connections.
     fn kill(&mut self, index: usize) {
         let now = self.now();
         let end = End::Server(self.servers[index].spec.number);
@@ -709,7 +711,7 @@
         }
     }
 
-    fn far(
+    fn with_far_trunk(
         &mut self,
         now: Micros,
         index: usize,
@@ -721,7 +723,8 @@
         self.perform(index, out);
     }
 
-    /// A server calls a node on a circuit of its choice, and will again.
+    /// Starts a call from a server to a node on a circuit that the server selects, and schedules the next
+    /// one.
     fn far_call(&mut self, now: Micros, place: usize, node: u16) {
         let rate =
             self.day.circuits.as_ref().and_then(|circuits| circuits.far_rate).map_or(0.0, |rate| rate.0);
@@ -730,15 +733,15 @@
         }
         let index = self.in_place[place];
         if self.servers[index].is_linked(node) {
-            self.far(now, index, node, |trunk, far| trunk.call(now, None, far));
+            self.with_far_trunk(now, index, node, |trunk, far| trunk.call(now, None, far));
         }
         let gap = -self.rng.random::<f64>().max(1e-12).ln() * 1e6 / rate;
-        self.at(now + gap as Micros, Tick::FarCall(place, node));
+        self.schedule(now + gap as Micros, Tick::FarCall(place, node));
     }
 
     // ---- Front-ends and callers ----
 
-    fn tell_front(&mut self, index: usize, input: PeerInput<'_>) -> bool {
+    fn drive_front(&mut self, index: usize, input: PeerInput<'_>) -> bool {
         let now = self.now();
         let mut outputs = Vec::new();
         self.fronts[index].peer.handle(now, input, &mut outputs);
@@ -750,11 +753,11 @@
                     self.dial_node(TAG_FRONT + index as u64, self.fronts[index].node, identity);
                 }
                 PeerOutput::Open(conn, _) => {
-                    // What was not answered before is asked again, as a repeat (RFC 6733 section 5.5.4). Where nobody
-                    // waits any more, the call may stand all the same: it is released.
+                    // Unanswered requests are retransmitted (RFC 6733 section 5.5.4). A set-up whose caller
+                    // no longer waits may have been established nevertheless, so it is released instead.
                     for (hop_by_hop, sent, bytes) in self.fronts[index].repeats(now) {
                         match sent {
-                            Sent::SetUp(id, number) if !self.waits(id, number) => {
+                            Outstanding::SetUp(id, number) if !self.awaits_answer(id, number) => {
                                 let session = MessageRef::parse(&bytes)
                                     .ok()
                                     .and_then(|request| request.text(d::SESSION_ID).map(str::to_owned));
@@ -783,13 +786,13 @@
             }
         }
         if back && self.rehandshaking {
-            self.tell_front(index, PeerInput::Start);
+            self.drive_front(index, PeerInput::Start);
         }
         deliver
     }
 
-    /// Whether a caller still waits for the answer to one of its tries.
-    fn waits(&self, id: usize, number: u32) -> bool {
+    /// Returns whether a caller still waits for the answer to one of its tries.
+    fn awaits_answer(&self, id: usize, number: u32) -> bool {
         let caller = &self.callers[id];
         caller.tries == number && matches!(caller.state, CallerState::Trying(..))
     }
@@ -807,7 +810,7 @@
         }
         let rate = self.day.rate.0 * self.surge;
         let gap = -self.rng.random::<f64>().max(1e-12).ln() * 1e6 / rate;
-        self.at(now + gap as Micros, Tick::Arrival);
+        self.schedule(now + gap as Micros, Tick::Arrival);
         if self.fronts.is_empty() {
             return;
         }
@@ -822,7 +825,7 @@
             }
         }
         let place = if self.rng.random::<f64>() < self.day.callers.drift {
-            self.fashion
+            self.popular_place
         } else {
             self.rng.random_range(0..self.in_place.len())
         };
@@ -842,13 +845,13 @@
         caller.tries += 1;
         let Some(front) = open else {
             caller.state = CallerState::Waiting;
-            return self.again(now, id);
+            return self.retry_or_end(now, id);
         };
         let class = &self.day.classes[caller.class];
         let patience = ((class.deadline.0 as f64 * self.day.callers.try_share) as Micros)
             .min(caller.ends - now)
             .max(1_000);
-        // Whole milliseconds, as they are told.
+        // Whole milliseconds, the unit in the request.
         let patience = (patience / 1_000).max(1) * 1_000;
         let session = format!("{};{id};{}", self.fronts[front].host, caller.tries);
         let called = Day::number(caller.class, caller.place, id as u32 % 1_000_000);
@@ -858,31 +861,32 @@
         let calling = format!("c{id}");
         let set_up = SetUp { session: &session, called: &called, calling: &calling, patience, marks };
         self.next_id = self.next_id.wrapping_add(1);
-        let bytes = self.fronts[front].set_up(now, &set_up, Sent::SetUp(id, number), self.next_id);
+        let bytes = self.fronts[front].set_up(now, &set_up, Outstanding::SetUp(id, number), self.next_id);
         if let Some(conn) = self.fronts[front].open() {
             self.front_send(front, conn, bytes);
         }
-        self.at(now + patience, Tick::GiveUp(id, number));
+        self.schedule(now + patience, Tick::GiveUp(id, number));
         if number == 1 && self.rng.random::<f64>() < self.day.callers.impatient {
             let leaves = self.rng.random_range(1_000..1_000_000);
-            self.at(now + leaves, Tick::Leave(id, number));
+            self.schedule(now + leaves, Tick::Leave(id, number));
         }
     }
 
-    /// After a try that failed: dial again, or be done.
-    fn again(&mut self, now: Micros, id: usize) {
+    /// Schedules the next try after a failed one, or ends the caller.
+    fn retry_or_end(&mut self, now: Micros, id: usize) {
         let mean = self.day.callers.backoff.0 as f64;
         let wait = (-self.rng.random::<f64>().max(1e-12).ln() * mean) as Micros;
         let caller = &mut self.callers[id];
         if caller.tries <= self.day.callers.redials && now + wait < caller.ends {
             caller.state = CallerState::Waiting;
-            self.at(now + wait, Tick::Try(id));
+            self.schedule(now + wait, Tick::Try(id));
         } else {
             caller.state = CallerState::Done;
         }
     }
 
-    /// A caller hangs up. While the front-end has no connection its release is kept, as what was not answered is.
+    /// Releases a call. While the front-end has no connection, the release is kept with the unanswered
+    /// requests.
     fn release(&mut self, front: usize, session: &str) {
         let bytes = self.fronts[front].release(session);
         if let Some(conn) = self.fronts[front].open() {
@@ -892,13 +896,13 @@
 
     fn front_message(&mut self, now: Micros, index: usize, conn: u64, bytes: &[u8]) {
         let Ok(message) = MessageRef::parse(bytes) else { return };
-        if !self.tell_front(index, PeerInput::Message(ConnId(conn), &message)) {
+        if !self.drive_front(index, PeerInput::Message(ConnId(conn), &message)) {
             return;
         }
         if message.header.is_request() {
             match message.header.command {
-                d::CMD_ABORT_SESSION => self.aborted(now, index, conn, &message),
-                // A call of a server: there is always somebody to take it.
+                d::CMD_ABORT_SESSION => self.on_call_cut(now, index, conn, &message),
+                // A call from a server is always accepted.
                 d::CMD_AA => {
                     let answer = MessageBuilder::answer(&message, result_code::SUCCESS)
                         .add_str(d::ORIGIN_HOST, &self.fronts[index].host)
@@ -909,29 +913,31 @@
             }
             return;
         }
-        let Some(Sent::SetUp(id, number)) = self.fronts[index].finish(message.header.hop_by_hop) else {
+        let Some(Outstanding::SetUp(id, number)) = self.fronts[index].finish(message.header.hop_by_hop)
+        else {
             return;
         };
         let session = message.text(d::SESSION_ID).unwrap_or_default();
         let current = self.callers[id].tries == number;
-        let waits = matches!(&self.callers[id].state, CallerState::Trying(_, name) if name == session);
+        let awaits_answer =
+            matches!(&self.callers[id].state, CallerState::Trying(_, name) if name == session);
         if message.result_code() == result_code::SUCCESS {
-            if current && waits {
+            if current && awaits_answer {
                 let mean = self.day.classes[self.callers[id].class].length.0 as f64;
                 let length = (-self.rng.random::<f64>().max(1e-12).ln() * mean) as Micros;
                 self.callers[id].state = CallerState::Standing(index as u16, session.to_owned());
-                self.at(now + length, Tick::HangUp(id));
+                self.schedule(now + length, Tick::HangUp(id));
             } else {
-                // The caller is not there any more.
+                // The caller no longer waits.
                 self.release(index, session);
             }
-        } else if current && waits {
-            self.again(now, id);
+        } else if current && awaits_answer {
+            self.retry_or_end(now, id);
         }
     }
 
-    /// A call was cut. The caller is told, and where the script cuts calls it comes again.
-    fn aborted(&mut self, now: Micros, index: usize, conn: u64, message: &MessageRef<'_>) {
+    /// Handles a cut call: answers the request, and schedules a new try if the script is cutting calls.
+    fn on_call_cut(&mut self, now: Micros, index: usize, conn: u64, message: &MessageRef<'_>) {
         let session = message.text(d::SESSION_ID).unwrap_or_default();
         let answer = MessageBuilder::answer(message, result_code::SUCCESS)
             .add_str(d::ORIGIN_HOST, &self.fronts[index].host)
@@ -947,20 +953,21 @@
             let deadline = self.day.classes[self.callers[id].class].deadline.0;
             let caller = &mut self.callers[id];
             (caller.cut, caller.state, caller.ends) = (true, CallerState::Waiting, now + wait + deadline);
-            self.at(now + wait, Tick::Try(id));
+            self.schedule(now + wait, Tick::Try(id));
         } else {
             self.callers[id].state = CallerState::Done;
         }
     }
 
-    // ---- The list ----
+    // ---- Server list ----
 
-    fn listed(&mut self, at: Micros, node: u16, entry: &Entry) {
+    fn record_listed(&mut self, at: Micros, node: u16, entry: &Entry) {
         let (ready, started) = (entry.state == Listed::Ready, entry.started.is_some());
         self.records.push(Record::Listed { at, node, server: entry.server, ready, started });
     }
 
-    /// The list learns something; each node hears of it later.
+    /// Changes a server's entry of the list and schedules the change on each node's feed after the list's
+    /// delay.
     fn announce(&mut self, now: Micros, index: usize, state: Listed) {
         let entry = entry(&self.servers[index], state);
         for node in 0..self.feeds.len() {
@@ -969,7 +976,7 @@
             let due = (now + wait).max(self.feeds[node].last_due + 1);
             self.feeds[node].last_due = due;
             self.pending[node].push(entry.clone());
-            self.at(due, Tick::Publish(node as u16));
+            self.schedule(due, Tick::Publish(node as u16));
         }
     }
 
@@ -982,13 +989,13 @@
         let line = self.feeds[index].change(now, entry.clone());
         if let Some(conn) = self.feeds[index].conn {
             self.wire.send(conn, &line);
-            self.listed(now, node, &entry);
+            self.record_listed(now, node, &entry);
         }
     }
 
     // ---- Troubles ----
 
-    /// The servers that a trouble is about, as they are in their places now.
+    /// Returns the current servers of the places that a trouble affects.
     fn affected(&self, trouble: &Trouble) -> Vec<usize> {
         if trouble.on.is_empty() {
             return self.in_place.clone();
@@ -996,15 +1003,15 @@
         trouble.on.iter().map(|place| self.in_place[usize::from(*place)]).collect()
     }
 
-    fn mark(&mut self, at: Micros, number: usize, begins: bool) {
+    fn record_trouble(&mut self, at: Micros, number: usize, begins: bool) {
         let text = self.day.troubles[number].text();
         self.records.push(Record::Trouble { at, number: number as u16, text, begins });
     }
 
-    fn begin(&mut self, now: Micros, number: usize) {
+    fn begin_trouble(&mut self, now: Micros, number: usize) {
         let trouble = self.day.troubles[number].clone();
-        self.mark(now, number, true);
-        self.at(now + trouble.length.0, Tick::Finish(number));
+        self.record_trouble(now, number, true);
+        self.schedule(now + trouble.length.0, Tick::Finish(number));
         let affected = self.affected(&trouble);
         match trouble.kind {
             TroubleKind::Surge => self.surge *= trouble.size,
@@ -1062,19 +1069,21 @@
                     self.half_frame(index);
                 }
             }
-            TroubleKind::AuthorityAway => self.authority(|credentials| credentials.away(true)),
-            TroubleKind::AuthorityRefuses => self.authority(|credentials| credentials.refuse(true)),
+            TroubleKind::AuthorityAway => self.with_authority(|credentials| credentials.set_away(true)),
+            TroubleKind::AuthorityRefuses => {
+                self.with_authority(|credentials| credentials.set_refusing(true))
+            }
             TroubleKind::Rehandshake => {
                 self.rehandshaking = true;
                 for front in 0..self.fronts.len() {
                     let at = now + self.rng.random_range(0..trouble.length.0.max(1));
-                    self.at(at, Tick::Rehandshake(front));
+                    self.schedule(at, Tick::Rehandshake(front));
                 }
             }
         }
     }
 
-    /// Half a watchdog request on every connection, and silence.
+    /// Sends half a watchdog request on every connection, then silences the server.
     fn half_frame(&mut self, index: usize) {
         let whole = MessageBuilder::request(d::CMD_WATCHDOG, 0, false, 1, 1)
             .add_str(d::ORIGIN_HOST, &self.servers[index].host)
@@ -1087,20 +1096,20 @@
         self.servers[index].silent = true;
     }
 
-    fn end(&mut self, now: Micros, number: usize) {
+    fn end_trouble(&mut self, now: Micros, number: usize) {
         let trouble = self.day.troubles[number].clone();
-        self.mark(now, number, false);
+        self.record_trouble(now, number, false);
         let affected = self.affected(&trouble);
         match trouble.kind {
             TroubleKind::Surge => self.surge /= trouble.size.max(1e-9),
             TroubleKind::Crash => {
                 for index in affected {
-                    // Another trouble may have put a server in its place, or started it, before.
+                    // Another trouble may have replaced or started the server already.
                     if self.servers[index].up {
                         continue;
                     }
                     self.servers[index].restart(now);
-                    self.started(now, index);
+                    self.record_started(now, index);
                     self.announce(now, index, Listed::Ready);
                 }
             }
@@ -1129,19 +1138,21 @@
                     self.perform(index, out);
                 }
             }
-            TroubleKind::AuthorityAway => self.authority(|credentials| credentials.away(false)),
-            TroubleKind::AuthorityRefuses => self.authority(|credentials| credentials.refuse(false)),
+            TroubleKind::AuthorityAway => self.with_authority(|credentials| credentials.set_away(false)),
+            TroubleKind::AuthorityRefuses => {
+                self.with_authority(|credentials| credentials.set_refusing(false))
+            }
             TroubleKind::Drain | TroubleKind::Dpr | TroubleKind::Stall | TroubleKind::Rehandshake => {}
         }
     }
 
-    fn authority(&self, act: impl FnOnce(&Credentials)) {
+    fn with_authority(&self, act: impl FnOnce(&Credentials)) {
         if let Some(tls) = &self.tls {
             act(&tls.credentials);
         }
     }
 
-    fn started(&mut self, at: Micros, index: usize) {
+    fn record_started(&mut self, at: Micros, index: usize) {
         let settings = self.servers[index].spec.processor.settings();
         let (capacity, from, span) = (settings.capacity, settings.cold_from, settings.cold_span);
         self.records.push(Record::Started {
@@ -1153,7 +1164,7 @@
         });
     }
 
-    /// The next step of a trouble that goes on.
+    /// Performs the next step of a trouble with several steps.
     fn step(&mut self, now: Micros, number: usize, step: u32) {
         let trouble = self.day.troubles[number].clone();
         let over = now >= self.zero + trouble.at.0 + trouble.length.0;
@@ -1163,7 +1174,7 @@
                 for index in self.affected(&trouble) {
                     self.servers[index].spec.processor.slow = 1.0 + (trouble.size - 1.0) * part;
                 }
-                self.at(now + 250_000, Tick::Step(number, step + 1));
+                self.schedule(now + 250_000, Tick::Step(number, step + 1));
             }
             TroubleKind::Stall if !over => {
                 let time = Duration::from_secs_f64(trouble.size.clamp(0.0, 10.0));
@@ -1171,14 +1182,15 @@
                 let time = time.as_micros() as Micros;
                 self.records.push(Record::Stall { at: now, node: trouble.node, time });
                 let pause = -self.rng.random::<f64>().max(1e-12).ln() * trouble.pause.0 as f64;
-                self.at(now + time + pause as Micros, Tick::Step(number, step + 1));
+                self.schedule(now + time + pause as Micros, Tick::Step(number, step + 1));
             }
             TroubleKind::Drain => self.drain_step(now, number, step),
             _ => {}
         }
     }
 
-    /// A rolling replacement: server by server, first the drain, then the stop and the cold successor.
+    /// Performs a step of a rolling replacement: for each server first the drain, then the stop and the start
+    /// of a cold replacement.
     fn drain_step(&mut self, now: Micros, number: usize, step: u32) {
         let trouble = self.day.troubles[number].clone();
         let places: Vec<usize> = match trouble.on.is_empty() {
@@ -1190,7 +1202,7 @@
         let old = self.in_place[place];
         if step.is_multiple_of(2) {
             self.announce(now, old, Listed::Draining);
-            self.at(now + each * 2 / 3, Tick::Step(number, step + 1));
+            self.schedule(now + each * 2 / 3, Tick::Step(number, step + 1));
             return;
         }
         let mut out = Vec::new();
@@ -1202,10 +1214,10 @@
         if let Ok(new) = self.replace(now, place) {
             self.announce(now, new, Listed::Ready);
         }
-        self.at(now + each / 3, Tick::Step(number, step + 1));
+        self.schedule(now + each / 3, Tick::Step(number, step + 1));
     }
 
-    /// A fresh server in a place.
+    /// Starts a new server in a place.
     fn replace(&mut self, now: Micros, place: usize) -> std::io::Result<usize> {
         let number = self.servers.len();
         let seed = self.rng.random();
@@ -1214,12 +1226,12 @@
         server.restart(now);
         self.servers.push(server);
         self.in_place[place] = number;
-        self.started(now, number);
+        self.record_started(now, number);
         Ok(number)
     }
 }
 
-/// A stand-in server's listener, with TLS where the day has it.
+/// Opens a stand-in server's listener, with TLS if the day uses it.
 fn listen(wire: &mut impl Wire, tls: Option<&Tls>, number: usize) -> std::io::Result<SocketAddr> {
     let config = tls.map(|tls| tls.credentials.server(&server_host(number as u16))).transpose();
     wire.listen(number as u64, config.map_err(std::io::Error::other)?)
