--- a/crates/lemoncleat-lab/src/far.rs
+++ b/crates/lemoncleat-lab/src/far.rs
@@ -25,7 +25,7 @@
     Ended(String),
     /// A call from this end was established; the environment hangs it up.
     Established(CallRef),
-    /// A call from this end retry_after_yield and is to be retried after a wait.
+    /// A call from this end yielded and is to be retried after a wait.
     Retry(CallRef, Micros),
 }
 
--- a/crates/lemoncleat-lab/src/glare.rs
+++ b/crates/lemoncleat-lab/src/glare.rs
@@ -1,5 +1,5 @@
 //! Simulates two ends of a trunk group under a virtual clock, both seizing, over a link that delays and loses
-//! messages. It measures the cost of dual seizure by selection sequence and load, and whether every circuit
+//! messages. It measures the cost of dual seizure by selection order and load, and whether every circuit
 //! is recovered.
 
 use std::cmp::Reverse;
@@ -20,7 +20,7 @@
 pub struct GlareRun {
     /// Number of circuits configured at each end.
     pub sizes: [u32; 2],
-    /// Selection sequence of each end.
+    /// Selection order of each end.
     pub orders: [Order; 2],
     /// Circuits that each end takes itself to control.
     pub controls: [Control; 2],
@@ -42,7 +42,7 @@
     pub resets_after_restart: bool,
     /// Audits of both ends.
     pub audits: Option<Audits>,
-    /// Retries of calls that retry_after_yield.
+    /// Retries of calls that yielded.
     pub repeats: Repeats,
     /// Seed of the random numbers.
     pub seed: u64,
@@ -76,9 +76,9 @@
     pub calls: u64,
     /// Calls that were established.
     pub stood: u64,
-    /// Dual seizures in which a call retry_after_yield.
+    /// Dual seizures in which a call yielded.
     pub yields: u64,
-    /// Calls given up after they retry_after_yield too often.
+    /// Calls given up after they yielded too often.
     pub lost_to_glare: u64,
     /// Calls that found no idle circuit.
     pub full: u64,
@@ -139,7 +139,7 @@
     due: BinaryHeap<Reverse<(Micros, u64)>>,
     pending_events: BTreeMap<u64, SimEvent>,
     ends: [Group; 2],
-    /// Messages in transit to each end, in sequence.
+    /// Messages in transit to each end. As on a connection, messages stay in order and losses are at its end.
     links: [VecDeque<(u64, Packet)>; 2],
     last_arrival: [Micros; 2],
     lossy: bool,
--- a/crates/lemoncleat-lab/src/load.rs
+++ b/crates/lemoncleat-lab/src/load.rs
@@ -37,7 +37,7 @@
     pub called: Vec<String>,
     /// Calls a second.
     pub rate: f64,
-    /// Time in which the rate grows from begin.
+    /// Time in which the rate grows from zero.
     pub ramp: Micros,
     /// Time in which calls are offered, including the ramp.
     pub duration: Micros,
