--- a/crates/lemoncleat-lab/days/calm.lisp
+++ b/crates/lemoncleat-lab/days/calm.lisp
@@ -1,4 +1,4 @@
-; No trouble at all: what a node does when nothing is wrong.
+; Baseline without any trouble.
 (name calm)
 (length 10s)
 (nodes 2)
--- a/crates/lemoncleat-lab/days/glare.lisp
+++ b/crates/lemoncleat-lab/days/glare.lisp
@@ -1,4 +1,4 @@
-; Trunk groups seized from both ends: servers call as well, and meet nodes on the very circuits that they seize.
+; Glare: servers place calls as well, and some of their seizures hit circuits that a node is seizing.
 (name glare)
 (length 30s)
 (tail 8s)
--- a/crates/lemoncleat-lab/days/payday.lisp
+++ b/crates/lemoncleat-lab/days/payday.lisp
@@ -1,4 +1,4 @@
-; The evening of a payday: troubles that overlap, at three nodes and four servers.
+; Payday evening: overlapping troubles with three nodes and four servers.
 (name payday)
 (length 45s)
 (nodes 3)
--- a/crates/lemoncleat-lab/days/renewals-hard.lisp
+++ b/crates/lemoncleat-lab/days/renewals-hard.lisp
@@ -1,4 +1,5 @@
-; Certificates of 15 s while servers are replaced, fall silent and crash, and a node gets no turn: renewal in the midst.
+; Certificates with a lifetime of 15 s are renewed while servers drain, fall silent and crash, and a node
+; stalls.
 (name renewals-hard)
 (length 60s)
 (nodes 3)
--- a/crates/lemoncleat-lab/days/renewals-short.lisp
+++ b/crates/lemoncleat-lab/days/renewals-short.lisp
@@ -1,4 +1,4 @@
-; The same in little: certificates of 12 s by the other challenge.
+; Short variant of the day renewals: certificates with a lifetime of 12 s, obtained by the other challenge.
 (name renewals-short)
 (length 14s)
 (tail 3s)
--- a/crates/lemoncleat-lab/days/renewals.lisp
+++ b/crates/lemoncleat-lab/days/renewals.lisp
@@ -1,4 +1,5 @@
-; Certificates of 40 s under steady load: some seven renewals a node, while the authority fails and servers drain.
+; Certificates with a lifetime of 40 s under steady load: about seven renewals per node, while the authority
+; fails and servers drain.
 (name renewals)
 (length 150s)
 (nodes 3)
--- a/crates/lemoncleat-lab/days/short.lisp
+++ b/crates/lemoncleat-lab/days/short.lisp
@@ -1,4 +1,4 @@
-; A day of a few seconds with troubles that overlap, for tests.
+; Short day with overlapping troubles, for tests.
 (name short)
 (length 5s)
 (tail 3s)
--- a/crates/lemoncleat-lab/src/bench_day.rs
+++ b/crates/lemoncleat-lab/src/bench_day.rs
@@ -329,8 +329,8 @@
 mod tests {
     use super::*;
 
-    /// A day in the bench's format, written for this test.
-    fn json(troubles: &str) -> String {
+    /// Returns a day in the bench's JSON format with the given troubles.
+    fn bench_json(troubles: &str) -> String {
         format!(
             r#"{{"site":"test","kind":"trouble","length":40000000,"noise":5,"zones":["a","b"],
             "balancers":[{{}},{{}},{{}},{{}},{{}},{{}},{{}},{{}},{{}},{{}}],
@@ -349,10 +349,10 @@
     }
 
     #[test]
-    fn fleet_rates_and_moments_are_scaled() {
+    fn scales_fleet_rates_and_times() {
         let trouble = r#"{"kind":"slow","at":10000000,"len":8000000,"size":2.5,"on":[1]}"#;
-        let taken = bench_day(&json(trouble), 2.0, 0.2).expect("a bench day");
-        let day = taken.day;
+        let converted = bench_day(&bench_json(trouble), 2.0, 0.2).expect("a bench day");
+        let day = converted.day;
         assert_eq!((day.nodes, day.servers.len()), (2, 2));
         assert!((day.rate.0 - 54.0).abs() < 1e-9);
         assert_eq!((day.length.0, day.processor.cold_span.0), (20_000_000, 7_500_000));
@@ -370,16 +370,16 @@
     }
 
     #[test]
-    fn a_stall_keeps_its_length_and_its_mean_pause() {
+    fn stall_keeps_its_length_and_mean_pause() {
         let trouble =
             r#"{"kind":"balancer_stall","at":1000000,"len":8000000,"size":1900,"extra":3.5,"on":[0]}"#;
-        let day = bench_day(&json(trouble), 2.0, 1.0).expect("a bench day").day;
+        let day = bench_day(&bench_json(trouble), 2.0, 1.0).expect("a bench day").day;
         let stall = &day.troubles[0];
         assert_eq!((stall.kind, stall.size, stall.pause), (TroubleKind::Stall, 0.95, Span(1_750_000)));
     }
 
     #[test]
-    fn every_kind_of_the_bench_is_taken_over_or_named() {
+    fn converts_or_notes_every_trouble_kind_and_refuses_unknown_ones() {
         let kinds = [
             ("burst", 1),
             ("crash", 1),
@@ -396,14 +396,16 @@
         for (kind, count) in kinds {
             let trouble =
                 format!(r#"{{"kind":"{kind}","at":1,"len":2000000,"size":1.5,"on":[1],"which":1}}"#);
-            let taken = bench_day(&json(&trouble), 1.0, 0.1).unwrap_or_else(|e| panic!("{kind}: {e}"));
-            assert_eq!(taken.day.troubles.len(), count, "{kind}");
-            assert_eq!(taken.notes.len(), 1 - count, "{kind}: what is left out is named");
+            let converted =
+                bench_day(&bench_json(&trouble), 1.0, 0.1).unwrap_or_else(|e| panic!("{kind}: {e}"));
+            assert_eq!(converted.day.troubles.len(), count, "{kind}");
+            assert_eq!(converted.notes.len(), 1 - count, "{kind}: a kind that is left out is noted");
         }
         let deploy = r#"{"kind":"deploy","at":1,"len":2000000,"size":0.1,"steps":[{"stop":[0]}]}"#;
-        assert_eq!(bench_day(&json(deploy), 1.0, 0.1).expect("a day").day.troubles[0].on, [0]);
-        let unknown = r#"{"kind":"locusts","at":1,"len":2,"size":1}"#;
-        let told = bench_day(&json(unknown), 1.0, 0.1).expect_err("unknown").to_string();
-        assert!(told.contains("locusts"), "{told}");
+        assert_eq!(bench_day(&bench_json(deploy), 1.0, 0.1).expect("a day").day.troubles[0].on, [0]);
+        let unknown = r#"{"kind":"no_such_kind","at":1,"len":2,"size":1}"#;
+        let error =
+            bench_day(&bench_json(unknown), 1.0, 0.1).expect_err("an unknown kind is refused").to_string();
+        assert!(error.contains("no_such_kind"), "{error}");
     }
 }
--- a/crates/lemoncleat-lab/tests/glare.rs
+++ b/crates/lemoncleat-lab/tests/glare.rs
@@ -1,4 +1,5 @@
-//! Both ends of a group under a virtual clock: no circuit lost, none shared, every call answered once.
+//! Simulates both ends of a trunk group on a virtual clock and checks that no circuit is lost or used for two
+//! calls at once, and that every call is answered exactly once.
 
 use lemoncleat_circuits::audit::Audits;
 use lemoncleat_circuits::glare::Control;
@@ -7,14 +8,14 @@
 
 const SECOND: i64 = 1_000_000;
 
-fn sound(run: &GlareRun) -> lemoncleat_lab::GlareResult {
+fn run_checked(run: &GlareRun) -> lemoncleat_lab::GlareResult {
     let result = glare_run(run);
     assert!(result.sound(), "seed {}: {result:?}", run.seed);
     result
 }
 
 #[test]
-fn a_thousand_seeds_of_seizures_at_the_same_instants_with_loss_and_restarts() {
+fn stays_sound_over_1000_seeds_of_simultaneous_seizures_loss_and_restarts() {
     let (mut yields, mut lost, mut mended) = (0, 0, 0);
     for seed in 0..1_000 {
         let order = Order::ALL[seed as usize % 5];
@@ -32,7 +33,7 @@
             seed,
             ..GlareRun::default()
         };
-        let result = sound(&run);
+        let result = run_checked(&run);
         yields += result.yields;
         lost += result.lost_to_glare;
         mended += result.mended;
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn glare_on_all_circuits_but_one_leaves_every_call_with_one_outcome() {
+fn every_call_has_one_outcome_when_all_circuits_but_one_meet_glare() {
     for seed in 0..50 {
         let run = GlareRun {
             sizes: [3, 3],
@@ -51,22 +52,22 @@
             seed,
             ..GlareRun::default()
         };
-        sound(&run);
+        run_checked(&run);
     }
 }
 
 #[test]
-fn own_circuits_first_meets_less_glare_than_both_ends_lowest_first() {
+fn own_first_order_yields_less_often_than_lowest_first_at_both_ends() {
     let with = |order| {
         let run = GlareRun { orders: [order; 2], load: 6.0, in_step: true, ..GlareRun::default() };
-        sound(&run).yields
+        run_checked(&run).yields
     };
     let (own_first, lowest) = (with(Order::OwnFirst), with(Order::Lowest));
     assert!(own_first * 5 < lowest, "own first {own_first}, lowest {lowest}");
 }
 
 #[test]
-fn ends_that_disagree_about_control_say_so_and_lose_no_circuit() {
+fn reports_disputes_and_loses_no_circuit_when_ends_disagree_about_control() {
     for control in [Control::Even, Control::Odd] {
         let run = GlareRun {
             controls: [control; 2],
@@ -75,12 +76,12 @@
             duration: 20 * SECOND,
             ..GlareRun::default()
         };
-        assert!(sound(&run).disputes > 0);
+        assert!(run_checked(&run).disputes > 0);
     }
 }
 
 #[test]
-fn a_far_end_with_fewer_or_more_circuits_is_found_out_circuit_by_circuit() {
+fn audits_find_each_missing_circuit_when_group_sizes_differ() {
     for sizes in [[12, 8], [8, 12]] {
         let run = GlareRun {
             sizes,
@@ -89,14 +90,14 @@
             audits: Some(Audits { round: SECOND, slice: 4, gap: 10_000 }),
             ..GlareRun::default()
         };
-        let result = sound(&run);
-        assert!(result.stood * 10 > result.calls * 8, "calls still stand: {result:?}");
-        assert!(result.mended <= 8, "each missing circuit is found once at most: {result:?}");
+        let result = run_checked(&run);
+        assert!(result.stood * 10 > result.calls * 8, "most calls are still established: {result:?}");
+        assert!(result.mended <= 8, "each missing circuit is reported at most once: {result:?}");
     }
 }
 
 #[test]
-fn ten_thousand_circuits_stuck_at_once_are_found_in_two_rounds() {
+fn audits_recover_stuck_circuits_of_10000_within_three_rounds() {
     let audits = Audits { round: 5 * SECOND, slice: 500, gap: 10_000 };
     let run = GlareRun {
         sizes: [10_000, 10_000],
@@ -104,19 +105,20 @@
         load: 9_000.0,
         length: 60 * SECOND,
         duration: 30 * SECOND,
-        // One end forgets all and says nothing.
+        // One end restarts without its state and sends no reset.
         restarts: vec![(30 * SECOND, 1)],
         resets_after_restart: false,
         audits: Some(audits),
         ..GlareRun::default()
     };
-    let result = sound(&run);
+    let result = run_checked(&run);
     assert!(result.mended > 3_000, "{result:?}");
     assert!(result.agreed_after < 3 * audits.round, "{result:?}");
 }
 
+/// Shows that the audits, and nothing else, recover the stuck circuits in the tests above.
 #[test]
-fn without_audits_stuck_circuits_stay_so_the_tests_above_mean_something() {
+fn circuits_stay_stuck_without_audits() {
     let run = GlareRun {
         restarts: vec![(60 * SECOND, 1)],
         resets_after_restart: false,
