--- a/crates/lemoncleat-access/src/fleet.rs
+++ b/crates/lemoncleat-access/src/fleet.rs
@@ -14,8 +14,8 @@
 
 use crate::interface;
 use crate::node::AccessNode;
-use crate::notes::MAX_MESSAGE_BYTES;
 use crate::notice::Notice;
+use crate::peer_messages::MAX_MESSAGE_BYTES;
 
 /// First byte of a fleet message. No message of the module begins with it.
 pub(crate) const FLEET_TAG: u8 = 0xf1;
--- a/crates/lemoncleat-access/src/lib.rs
+++ b/crates/lemoncleat-access/src/lib.rs
@@ -6,20 +6,20 @@
 //! and when a call is refused. This crate implements what the protocol requires for these decisions, and the
 //! limits that protect callers, servers and the node's own memory from one another.
 
+mod answers;
 mod callers;
 mod calls;
 mod description;
-mod door;
 mod fleet;
 mod interface;
 mod invite;
 mod journal;
+mod maintenance;
 mod node;
-mod notes;
 mod notice;
+mod peer_messages;
 mod releases;
 mod servers;
-mod sweep;
 mod timing;
 
 pub use interface::{ConnId, DialId, Input, Output, Stats};
