--- a/crates/lemoncleat-node/src/node/mod.rs
+++ b/crates/lemoncleat-node/src/node/mod.rs
@@ -1,10 +1,10 @@
 //! The node: its inputs and outputs, its timers, and the processing of events and actions.
 
+mod answers;
 mod calls;
 mod configure;
-mod door;
+mod fence;
 mod gap;
-mod guard;
 mod members;
 mod peers;
 mod stopping;
