--- a/crates/lemoncleat-commons/src/lib.rs
+++ b/crates/lemoncleat-commons/src/lib.rs
@@ -5,9 +5,9 @@
 //! returns actions for a driver. It does not handle calls. A node that belongs to no fleet has no part.
 
 mod configuration;
+mod fragments;
 mod members;
 mod part;
-mod pieces;
 mod rules;
 mod seat;
 mod state;
--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 
 use crate::configuration::Configuration;
-use crate::pieces::{Fragmenter, PeerMessage};
+use crate::fragments::{Fragmenter, PeerMessage};
 use crate::rules::{RulesCheck, RulesWatch};
 use crate::seat::{Action, Agreement, Seat};
 use crate::Micros;
--- a/crates/lemoncleat-commons/src/seat.rs
+++ b/crates/lemoncleat-commons/src/seat.rs
@@ -10,8 +10,8 @@
 use lemoncleat_fleet::MemberId;
 use serde_json::{json, Value};
 
+use crate::fragments::PeerMessage;
 use crate::part::{name, Names};
-use crate::pieces::PeerMessage;
 use crate::state::{Command, State, LONGEST_ORDER, LONGEST_TEXT};
 use crate::Micros;
 
