--- a/crates/lemoncleat-configuration/src/distributor.rs
+++ b/crates/lemoncleat-configuration/src/distributor.rs
@@ -6,7 +6,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::kept::SavedCopy;
 use crate::ledger::{bounded_line, Announcement, Command, Ledger};
 use crate::limits::{Timing, NOTICE_INTERVAL_US, PERSIST_RETRY_US, START_LEADER_AGE_US, START_WAIT_US};
 use crate::message::{Calls, Message, Report};
@@ -14,6 +13,7 @@
 use crate::plant::{self, Plant};
 use crate::query::{Queries, Query, VersionCounts};
 use crate::rollout::{roles, Rollout};
+use crate::saved_copy::SavedCopy;
 use crate::Micros;
 use fetch::Fetch;
 use operators::PendingChange;
--- a/crates/lemoncleat-configuration/src/lib.rs
+++ b/crates/lemoncleat-configuration/src/lib.rs
@@ -9,7 +9,6 @@
 //! Times are microseconds of a monotonic clock. Members are identified by a 32-bit number.
 
 mod distributor;
-mod kept;
 mod ledger;
 mod limits;
 mod message;
@@ -17,6 +16,7 @@
 mod plant;
 mod query;
 mod rollout;
+mod saved_copy;
 
 pub use distributor::{Answer, Distributor, Input, Member, Notice, Output, Phase, Settings, Stats, Status};
 pub use ledger::{Announcement, Command, Decision, Ledger, Verdict};
