--- a/crates/lemoncleat-fleet/src/fleet.rs
+++ b/crates/lemoncleat-fleet/src/fleet.rs
@@ -14,11 +14,11 @@
 mod links;
 mod membership;
 mod probes;
-mod spread;
-mod views;
+mod sync;
+mod update_store;
 
 use probes::{Probe, Relay, Suspicion};
-use spread::UpdateStore;
+use update_store::UpdateStore;
 
 /// Maximum size of a fact in bytes, so that one fits into a note beside a header.
 const MAX_FACT_BYTES: usize = 160;
--- a/crates/lemoncleat-fleet/src/fleet/sync.rs
+++ b/crates/lemoncleat-fleet/src/fleet/sync.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::membership::MAX_FUTILE_SYNCS;
-use super::spread::VersionOrder;
+use super::update_store::VersionOrder;
 use super::{Fleet, Kind, Notice, Output, MAX_FACT_BYTES, MAX_INCARNATION};
 use crate::message::{append, Body, Key, Update, Version, WireIncarnation};
 use crate::plant::{self, Plant};
