--- a/crates/lemoncleat-circuits/src/group/mod.rs
+++ b/crates/lemoncleat-circuits/src/group/mod.rs
@@ -855,4 +855,4 @@
 }
 
 #[cfg(test)]
-mod model;
+mod exhaustive;
