--- a/crates/lemoncleat-sip/src/lib.rs
+++ b/crates/lemoncleat-sip/src/lib.rs
@@ -25,8 +25,8 @@
 
 mod message;
 mod reader;
-mod write;
+mod writer;
 
 pub use message::{CSeq, Message, Method, Start};
 pub use reader::{Fault, Malformed, Reader, MAX_HEADERS, MAX_MESSAGE};
-pub use write::{refusal, request, response, Builder};
+pub use writer::{refusal, request, response, Builder};
