--- a/crates/lemoncleat-access/src/callers.rs
+++ b/crates/lemoncleat-access/src/callers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use lemoncleat_core::Micros;
-use lemoncleat_sip::{response, Malformed, Message, Method, Reader, Start};
+use lemoncleat_sip::{response, Message, Method, Reader, Start, StreamError};
 
 use crate::interface::{ConnId, Output};
 use crate::node::AccessNode;
@@ -189,7 +189,7 @@
     }
 
     /// Answers a malformed message, as far as there is something to answer to, and closes the connection.
-    fn caller_malformed(&mut self, conn: ConnId, malformed: &Malformed) {
+    fn caller_malformed(&mut self, conn: ConnId, malformed: &StreamError) {
         self.stats.bad_caller_messages += 1;
         let code = if malformed.fault == lemoncleat_sip::Fault::TooLong { 413 } else { 400 };
         let request =
--- a/crates/lemoncleat-access/src/servers.rs
+++ b/crates/lemoncleat-access/src/servers.rs
@@ -774,7 +774,7 @@
         }
         while let Some(state) = self.servers.conns.get_mut(&conn) {
             match state.reader.next_message() {
-                Ok(Some(_)) if !state.reader.follows_well() => {
+                Ok(Some(_)) if !state.reader.rest_is_plausible() => {
                     self.stats.bad_server_messages += 1;
                     return self.drop_server_conn(conn, Some("data after a message is not a SIP message"));
                 }
--- a/crates/lemoncleat-sip/src/lib.rs
+++ b/crates/lemoncleat-sip/src/lib.rs
@@ -1,7 +1,7 @@
 //! SIP messages (RFC 3261) without I/O: an incremental stream parser with hard limits, and a writer.
 //!
 //! A [`Reader`] takes bytes as they arrive and yields complete [`Message`]s, which do not depend on how the
-//! bytes were split. An input that cannot be parsed is reported as [`Malformed`]; the framing is then lost,
+//! bytes were split. An input that cannot be parsed is reported as [`StreamError`]; the framing is then lost,
 //! and the stream cannot be read any further. [`request`] and [`response`] write messages. Section numbers in
 //! the comments refer to RFC 3261.
 //!
@@ -28,5 +28,5 @@
 mod writer;
 
 pub use message::{CSeq, Message, Method, Start};
-pub use reader::{Fault, Malformed, Reader, MAX_HEADERS, MAX_MESSAGE};
+pub use reader::{Fault, Reader, StreamError, MAX_HEADERS, MAX_MESSAGE};
 pub use writer::{refusal, request, response, Builder};
--- a/crates/lemoncleat-sip/src/reader.rs
+++ b/crates/lemoncleat-sip/src/reader.rs
@@ -37,7 +37,7 @@
 
 /// The error after which the framing of a stream is lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Malformed {
+pub struct StreamError {
     /// The reason.
     pub fault: Fault,
     /// The head as far as it could be parsed, for use in an error response.
@@ -54,7 +54,7 @@
     start_line_checked: bool,
     /// A parsed head whose body is incomplete, and the length of that body.
     head: Option<(Message, usize)>,
-    error: Option<Malformed>,
+    error: Option<StreamError>,
 }
 
 impl Reader {
@@ -82,7 +82,7 @@
 
     /// Returns whether the buffered bytes after the last message can still be the beginning of a message. If
     /// they cannot, the length of the last message was wrong.
-    pub fn follows_well(&self) -> bool {
+    pub fn rest_is_plausible(&self) -> bool {
         let rest = skip_empty_lines(&self.buffer);
         if rest == b"\r" {
             return true; // Half of an empty line.
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Fails if the stream cannot be parsed any further. All later calls return the same error.
-    pub fn next_message(&mut self) -> Result<Option<Message>, Malformed> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, StreamError> {
         if let Some(error) = &self.error {
             return Err(error.clone());
         }
@@ -115,7 +115,7 @@
         next
     }
 
-    fn advance(&mut self) -> Result<Option<Message>, Malformed> {
+    fn advance(&mut self) -> Result<Option<Message>, StreamError> {
         if self.head.is_none() {
             let Some((head, length)) = self.take_head()? else { return Ok(None) };
             self.head = Some((head, length));
@@ -142,12 +142,12 @@
             return unscanned.iter().copied().all(is_start_line_byte);
         }
         self.start_line_checked = line_ended;
-        self.follows_well()
+        self.rest_is_plausible()
     }
 
     /// Removes a complete head from the buffer and returns it with the length of its body.
-    fn take_head(&mut self) -> Result<Option<(Message, usize)>, Malformed> {
-        let fault = |fault| Malformed { fault, head: None };
+    fn take_head(&mut self) -> Result<Option<(Message, usize)>, StreamError> {
+        let fault = |fault| StreamError { fault, head: None };
         if self.scanned == 0 {
             // Empty lines before the start line are ignored (7.5); peers send them as keep-alives.
             let skip = self.buffer.len() - skip_empty_lines(&self.buffer).len();
@@ -176,7 +176,7 @@
         }
         let text = std::str::from_utf8(&self.buffer[..end]).map_err(|_| fault(Fault::Header))?;
         let (message, first_fault) = parse_head(text).map_err(fault)?;
-        let with_head = |fault| Malformed { fault, head: Some(Box::new(message.clone())) };
+        let with_head = |fault| StreamError { fault, head: Some(Box::new(message.clone())) };
         if let Some(first_fault) = first_fault {
             return Err(with_head(first_fault));
         }
--- a/crates/lemoncleat-sip/tests/reader.rs
+++ b/crates/lemoncleat-sip/tests/reader.rs
@@ -176,7 +176,7 @@
         let mut reader = Reader::new();
         reader.push(format!("SIP/2.0 200 OK\r\nl: 2\r\n\r\nab{rest}").as_bytes());
         assert!(reader.next_message().expect("well formed").is_some());
-        assert_eq!(reader.follows_well(), plausible, "{rest:?}");
+        assert_eq!(reader.rest_is_plausible(), plausible, "{rest:?}");
     }
 }
 
