--- a/crates/lemoncleat-access/src/calls.rs
+++ b/crates/lemoncleat-access/src/calls.rs
@@ -121,7 +121,7 @@
             return self.refuse_for_capacity(conn, &message);
         }
         let deadline = Deadline::new(self.received_at, invite.patience, ANSWER_MARGIN_US);
-        let deadline_timer = self.wheel.set(deadline.last_moment(), Timer::CallDeadline(id));
+        let deadline_timer = self.wheel.set(deadline.fail_at(), Timer::CallDeadline(id));
         if let Some(caller) = self.callers.conns.get_mut(&conn) {
             caller.open += 1;
         }
--- a/crates/lemoncleat-core/src/deadline.rs
+++ b/crates/lemoncleat-core/src/deadline.rs
@@ -5,7 +5,7 @@
 
 /// The time at which a caller gives up, and the earlier limits that the node observes so that its answer
 /// arrives before it: the module answers by [`Deadline::answer_by`], the node itself fails the call at
-/// [`Deadline::last_moment`], and no answer is sent after [`Deadline::door`].
+/// [`Deadline::fail_at`], and no answer is sent after [`Deadline::door`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadline {
     at: Micros,
@@ -27,7 +27,7 @@
     /// Returns the time at which a call without an answer is failed: half the margin before the deadline, and
     /// at least one tick before [`Deadline::door`], so that the answer can still be sent if the timer is a
     /// tick late.
-    pub fn last_moment(self) -> Micros {
+    pub fn fail_at(self) -> Micros {
         (self.at - self.margin / 2).min(self.door() - TICK_US)
     }
 
--- a/crates/lemoncleat-node/src/node/calls.rs
+++ b/crates/lemoncleat-node/src/node/calls.rs
@@ -143,7 +143,7 @@
             Some((code::MISSING_AVP, "Called-Station-Id is missing"))
         } else if route.is_none() {
             Some((code::UNABLE_TO_DELIVER, "no route for the number called"))
-        } else if deadline.last_moment() <= self.now {
+        } else if deadline.fail_at() <= self.now {
             Some((code::UNABLE_TO_DELIVER, "no time is left to set the call up"))
         } else {
             None
@@ -170,7 +170,7 @@
         self.next_call += 1;
         self.stats.calls += 1;
         let session: Arc<str> = session.into();
-        let timer = self.wheel.set(deadline.last_moment(), Timer::Deadline(id));
+        let timer = self.wheel.set(deadline.fail_at(), Timer::Deadline(id));
         self.sessions.insert(session.clone(), id);
         let call = Call {
             session,
--- a/crates/lemoncleat-node/src/node/trunks.rs
+++ b/crates/lemoncleat-node/src/node/trunks.rs
@@ -490,7 +490,7 @@
                     client: None,
                     token: header.hop_by_hop,
                     deadline,
-                    deadline_timer: deadline.map(|deadline| self.wheel.set(deadline.last_moment(), timer)),
+                    deadline_timer: deadline.map(|deadline| self.wheel.set(deadline.fail_at(), timer)),
                 };
                 trunk.incoming.insert(call, incoming);
                 self.incoming_sessions.insert(session, (peer, call));
