--- a/crates/lemoncleat-access/src/node.rs
+++ b/crates/lemoncleat-access/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lemoncleat::{Action, CallId, Controller, Event, MemberNews, SettingsError};
+use lemoncleat::{Action, CallId, Controller, Event, ServerListUpdate, SettingsError};
 use lemoncleat_core::{Micros, Wheel};
 use lemoncleat_platform::NodeConfig;
 
@@ -259,7 +259,7 @@
         self.events.push_back(event);
     }
 
-    pub(crate) fn queue_member_news(&mut self, news: MemberNews) {
+    pub(crate) fn queue_member_news(&mut self, news: ServerListUpdate) {
         self.queue_event(Event::Members(news));
     }
 
--- a/crates/lemoncleat-access/src/notice.rs
+++ b/crates/lemoncleat-access/src/notice.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use lemoncleat::{Sizes, View};
+use lemoncleat::{ServerView, Sizes};
 
 use crate::interface::Stats;
 
@@ -64,7 +64,7 @@
         /// The report as received.
         report: String,
         /// The module's view before the report.
-        previous_view: View,
+        previous_view: ServerView,
     },
     /// A dial to a server failed.
     Unreachable {
--- a/crates/lemoncleat-access/src/servers.rs
+++ b/crates/lemoncleat-access/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lemoncleat::{Availability, CallId, Event, MemberNews, Outcome, Reason, Report, ServerId};
+use lemoncleat::{Availability, CallId, Event, Outcome, Reason, Report, ServerId, ServerListUpdate};
 use lemoncleat_core::Micros;
 use lemoncleat_platform::{diagnosis, report_of_text, Names, ServerNews};
 use lemoncleat_sip::{response, Message, Method, Reader, Start};
@@ -367,7 +367,11 @@
         if self.tracing {
             self.log_servers();
         }
-        let news = if news.complete { MemberNews::Complete(members) } else { MemberNews::Changes(members) };
+        let news = if news.complete {
+            ServerListUpdate::Complete(members)
+        } else {
+            ServerListUpdate::Changes(members)
+        };
         self.queue_member_news(news);
         for id in self.servers.in_rotated_order() {
             self.maintain_server(id);
--- a/crates/lemoncleat-consistency/benches/cost.rs
+++ b/crates/lemoncleat-consistency/benches/cost.rs
@@ -29,7 +29,7 @@
         kind: 0,
     };
     let list = (0..SERVERS).map(member).collect();
-    controller.handle(0, Event::Members(MemberNews::Complete(list)), &mut actions);
+    controller.handle(0, Event::Members(ServerListUpdate::Complete(list)), &mut actions);
     for calls in [1_000_u64, 10_000] {
         let from = controller.sizes().calls as u64;
         for id in from..calls {
--- a/crates/lemoncleat-consistency/src/cases.rs
+++ b/crates/lemoncleat-consistency/src/cases.rs
@@ -5,7 +5,8 @@
 use std::marker::PhantomData;
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Event, Member, MemberNews, Micros, Outcome, Reason, Report, ServerId,
+    Action, Availability, Call, CallId, Event, Member, Micros, Outcome, Reason, Report, ServerId,
+    ServerListUpdate,
 };
 
 use crate::tree::Tree;
@@ -191,9 +192,9 @@
             Pending::List => {
                 let fails = now > 0 && self.generator.one_in(8);
                 Some(Event::Members(if fails {
-                    MemberNews::Failed
+                    ServerListUpdate::Failed
                 } else {
-                    MemberNews::Complete(self.list())
+                    ServerListUpdate::Complete(self.list())
                 }))
             }
             Pending::Note => {
@@ -269,8 +270,10 @@
         let list = self.list();
         match kind {
             0..=2 => None,
-            _ if complete_list => Some(Event::Members(MemberNews::Complete(list))),
-            _ => Some(Event::Members(MemberNews::Changes(list.into_iter().skip(which).take(1).collect()))),
+            _ if complete_list => Some(Event::Members(ServerListUpdate::Complete(list))),
+            _ => Some(Event::Members(ServerListUpdate::Changes(
+                list.into_iter().skip(which).take(1).collect(),
+            ))),
         }
     }
 
--- a/crates/lemoncleat-consistency/tests/common/mod.rs
+++ b/crates/lemoncleat-consistency/tests/common/mod.rs
@@ -267,7 +267,7 @@
             zone: id % 3,
             kind: 0,
         };
-        let list = Event::Members(MemberNews::Complete((0..SERVERS).map(member).collect()));
+        let list = Event::Members(ServerListUpdate::Complete((0..SERVERS).map(member).collect()));
         let offset = self.random.span(0, SECOND);
         for (after, task) in [(0, Task::Work(list)), (offset, Task::Check), (offset + 1, Task::Call)] {
             self.schedule(after, me, task);
--- a/crates/lemoncleat-node/benches/size.rs
+++ b/crates/lemoncleat-node/benches/size.rs
@@ -14,7 +14,7 @@
 
 use hdrhistogram::Histogram;
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, MemberNews, Outcome, Settings,
+    Action, Availability, Call, CallId, Class, Controller, Event, Outcome, ServerListUpdate, Settings,
 };
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{MessageBuilder, MessageRef};
@@ -258,7 +258,7 @@
     let mut timers = BTreeMap::new();
     module.handle(
         now,
-        Event::Members(MemberNews::Complete((0..servers).map(member).collect())),
+        Event::Members(ServerListUpdate::Complete((0..servers).map(member).collect())),
         &mut actions,
     );
     let mut histogram = Histogram::<u64>::new(3).expect("a histogram");
--- a/crates/lemoncleat-node/src/node/mod.rs
+++ b/crates/lemoncleat-node/src/node/mod.rs
@@ -19,8 +19,8 @@
 
 use foldhash::{HashMap, HashMapExt};
 use lemoncleat::{
-    Action, Availability, Call as NewCall, CallId, Controller, Event, MemberNews, Outcome, Reason, Report,
-    ServerId, SettingsError,
+    Action, Availability, Call as NewCall, CallId, Controller, Event, Outcome, Reason, Report, ServerId,
+    ServerListUpdate, SettingsError,
 };
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{
--- a/crates/lemoncleat-node/src/node/peers.rs
+++ b/crates/lemoncleat-node/src/node/peers.rs
@@ -293,7 +293,7 @@
                     state.started_at = Some(self.now);
                 }
                 let member = state.member(server);
-                self.events.push_back(Event::Members(MemberNews::Changes(vec![member])));
+                self.events.push_back(Event::Members(ServerListUpdate::Changes(vec![member])));
             }
             self.open_trunk(id, capabilities, restarted);
             self.block_for_drain(
@@ -339,7 +339,7 @@
         if let Some(state) = self.servers.get_mut(server) {
             state.leaving = true;
             let member = state.member(server);
-            self.events.push_back(Event::Members(MemberNews::Changes(vec![member])));
+            self.events.push_back(Event::Members(ServerListUpdate::Changes(vec![member])));
         }
     }
 
@@ -494,9 +494,9 @@
         };
         let news = if complete {
             let present: Vec<ServerId> = named;
-            MemberNews::Complete(members(&present, &self.servers))
+            ServerListUpdate::Complete(members(&present, &self.servers))
         } else {
-            MemberNews::Changes(members(&named, &self.servers))
+            ServerListUpdate::Changes(members(&named, &self.servers))
         };
         self.events.push_back(Event::Members(news));
         let count = |state: Availability, servers: &Servers| {
--- a/crates/lemoncleat-node/src/rebuild/tests.rs
+++ b/crates/lemoncleat-node/src/rebuild/tests.rs
@@ -1,7 +1,7 @@
 //! The module's state across a change of settings.
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Event, Member, MemberNews, Outcome, Reason, Report, ServerId,
+    Action, Availability, Call, CallId, Event, Member, Outcome, Reason, Report, ServerId, ServerListUpdate,
 };
 
 use super::*;
@@ -81,7 +81,7 @@
             zone: server % 2,
             kind: 0,
         });
-        simulated.event(Event::Members(MemberNews::Complete(members.collect())));
+        simulated.event(Event::Members(ServerListUpdate::Complete(members.collect())));
         simulated
     }
 
--- a/crates/lemoncleat-simulate/src/chain/run.rs
+++ b/crates/lemoncleat-simulate/src/chain/run.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews,
-    Outcome as AttemptOutcome, Reason, Report, ServerId, Settings, SettingsError,
+    Action, Availability, Call, CallId, Class, Controller, Event, Member, Outcome as AttemptOutcome, Reason,
+    Report, ServerId, ServerListUpdate, Settings, SettingsError,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -157,7 +157,7 @@
             let mut level = Vec::new();
             for number in 0..plan.servers {
                 let mut controller = Controller::new(settings(number as u32), rng.random())?;
-                let news = MemberNews::Complete(list.clone());
+                let news = ServerListUpdate::Complete(list.clone());
                 controller.handle(0, Event::Members(news), &mut Vec::new());
                 level.push(Node { controller, saved_repeats: MAX_SAVED_REPEATS });
             }
--- a/crates/lemoncleat-wirehost/src/wire.rs
+++ b/crates/lemoncleat-wirehost/src/wire.rs
@@ -5,8 +5,8 @@
 use std::str::FromStr;
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Controller, Event, Member, MemberNews, Micros, Outcome, Report,
-    ServerId,
+    Action, Availability, Call, CallId, Controller, Event, Member, Micros, Outcome, Report, ServerId,
+    ServerListUpdate,
 };
 
 use lemoncleat_platform::{reason_from_code, set_report_value, ListedServer, Names, SiteSettings};
@@ -283,7 +283,7 @@
     ) -> Result<Event, String> {
         let how = fields.text("how")?;
         if how == "X" {
-            return Ok(Event::Members(MemberNews::Failed));
+            return Ok(Event::Members(ServerListUpdate::Failed));
         }
         let number: u8 = fields.number("roster_id")?;
         let table = tables
@@ -291,8 +291,8 @@
             .ok_or_else(|| format!("'members' names list {number}, expected its 'table' first"))?;
         let members = table.iter().map(|entry| self.member(entry)).collect();
         match how {
-            "D" => Ok(Event::Members(MemberNews::Changes(members))),
-            "F" | "C" => Ok(Event::Members(MemberNews::Complete(members))),
+            "D" => Ok(Event::Members(ServerListUpdate::Changes(members))),
+            "F" | "C" => Ok(Event::Members(ServerListUpdate::Complete(members))),
             other => Err(format!("'members': expected D, F, C or X for 'how', got '{other}'")),
         }
     }
--- a/crates/lemoncleat/src/decide.rs
+++ b/crates/lemoncleat/src/decide.rs
@@ -463,9 +463,9 @@
     }
 
     /// Returns the estimated state of a server at this moment, or `None` if the server is unknown.
-    pub fn view(&self, id: ServerId) -> Option<View> {
+    pub fn view(&self, id: ServerId) -> Option<ServerView> {
         let server = self.servers.get(&id)?;
-        Some(View {
+        Some(ServerView {
             free: server.free,
             lines: server.lines,
             wait: server.expected_wait(self.now) as Micros,
@@ -476,10 +476,12 @@
 
     // ---- Server list ----
 
-    fn update_members(&mut self, update: MemberNews) {
+    fn update_members(&mut self, update: ServerListUpdate) {
         match update {
-            MemberNews::Changes(members) => members.iter().for_each(|member| self.update_member(member)),
-            MemberNews::Complete(members) => {
+            ServerListUpdate::Changes(members) => {
+                members.iter().for_each(|member| self.update_member(member))
+            }
+            ServerListUpdate::Complete(members) => {
                 for server in self.servers.values_mut() {
                     server.ready = false;
                     server.gone_at.get_or_insert(self.now);
@@ -487,7 +489,7 @@
                 self.rates.take();
                 members.iter().for_each(|member| self.update_member(member));
             }
-            MemberNews::Failed => self.subscribed = false,
+            ServerListUpdate::Failed => self.subscribed = false,
         }
         self.remove_expired_servers();
     }
--- a/crates/lemoncleat/src/interface.rs
+++ b/crates/lemoncleat/src/interface.rs
@@ -204,7 +204,7 @@
 
 /// An update of the list of servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum MemberNews {
+pub enum ServerListUpdate {
     /// Only the changed entries.
     Changes(Vec<Member>),
     /// The complete list; servers that are missing are gone.
@@ -304,7 +304,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
     /// The list of servers was updated.
-    Members(MemberNews),
+    Members(ServerListUpdate),
     /// A new call arrived. It must get exactly one final answer.
     Call(Call),
     /// A set-up succeeded: the call is established.
@@ -374,7 +374,7 @@
 
 /// A controller's estimate of the state of a server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct View {
+pub struct ServerView {
     /// Free circuits or lines, less this node's set-ups since the last report.
     pub free: Option<f64>,
     /// Total number of circuits or lines.
--- a/crates/lemoncleat/src/lib.rs
+++ b/crates/lemoncleat/src/lib.rs
@@ -9,7 +9,8 @@
 //!
 //! ```
 //! use lemoncleat::{
-//!     Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews, ServerId, Settings,
+//!     Action, Availability, Call, CallId, Class, Controller, Event, Member, ServerId, ServerListUpdate,
+//!     Settings,
 //! };
 //!
 //! let class = Class { aim: 1_500_000, deadline: 9_000_000, worth: 1.0, ..Class::default() };
@@ -20,7 +21,7 @@
 //! let server = ServerId(0);
 //! let availability = Availability::Ready;
 //! let member = Member { server, availability, started_at: None, place: 0, zone: 0, kind: 0 };
-//! controller.handle(0, Event::Members(MemberNews::Complete(vec![member])), &mut actions);
+//! controller.handle(0, Event::Members(ServerListUpdate::Complete(vec![member])), &mut actions);
 //!
 //! let id = CallId(1);
 //! let call = Call { id, patience: 3_000_000, width: 1.0, ..Call::default() };
@@ -44,7 +45,7 @@
 
 pub use decide::Controller;
 pub use interface::{
-    Action, Availability, Call, CallId, Class, DedupGroup, Effect, Event, Member, MemberNews, Membership,
-    Micros, Outcome, Reason, Report, ServerId, Settings, SettingsError, Sizes, View,
+    Action, Availability, Call, CallId, Class, DedupGroup, Effect, Event, Member, Membership, Micros,
+    Outcome, Reason, Report, ServerId, ServerListUpdate, ServerView, Settings, SettingsError, Sizes,
 };
 pub use state::SOURCES;
--- a/crates/lemoncleat/tests/common/mod.rs
+++ b/crates/lemoncleat/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Helpers shared by the tests of the decision module.
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews, Micros, Outcome,
-    Reason, Report, ServerId, Settings,
+    Action, Availability, Call, CallId, Class, Controller, Event, Member, Micros, Outcome, Reason, Report,
+    ServerId, ServerListUpdate, Settings,
 };
 
 /// A millisecond.
@@ -40,7 +40,7 @@
         let controller = Controller::new(settings, 1).expect("usable settings");
         let mut node = Node { controller, now: 100 * S };
         let members = (0..servers).map(|number| member(number, Availability::Ready, None)).collect();
-        node.handle(Event::Members(MemberNews::Complete(members)));
+        node.handle(Event::Members(ServerListUpdate::Complete(members)));
         node
     }
 
@@ -70,7 +70,7 @@
         availability: Availability,
         started_at: Option<Micros>,
     ) -> Vec<Action> {
-        self.handle(Event::Members(MemberNews::Changes(vec![member(number, availability, started_at)])))
+        self.handle(Event::Members(ServerListUpdate::Changes(vec![member(number, availability, started_at)])))
     }
 
     pub fn started(&mut self, id: u64, attempt: u32, server: u32, lag: Micros) -> Vec<Action> {
--- a/crates/lemoncleat/tests/module.rs
+++ b/crates/lemoncleat/tests/module.rs
@@ -4,8 +4,8 @@
 
 use common::{answered, call, member, sent, settings, Node, MS, S};
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, DedupGroup, Effect, Event, Member, MemberNews,
-    Membership, Outcome, Reason, Report, ServerId, Settings,
+    Action, Availability, Call, CallId, Class, Controller, DedupGroup, Effect, Event, Member, Membership,
+    Outcome, Reason, Report, ServerId, ServerListUpdate, Settings,
 };
 
 #[test]
@@ -182,9 +182,9 @@
         }
     }
     let mut node = Node::new(settings(), 2);
-    node.handle(Event::Members(MemberNews::Complete(vec![member(1, Availability::Ready, None)])));
+    node.handle(Event::Members(ServerListUpdate::Complete(vec![member(1, Availability::Ready, None)])));
     assert_ne!(sent(&node.call(1, 0, 0)), Some(0), "a server missing from a complete list is gone");
-    node.handle(Event::Members(MemberNews::Complete(Vec::new())));
+    node.handle(Event::Members(ServerListUpdate::Complete(Vec::new())));
     assert!(answered(&node.call(2, 0, 0), 2), "the list is empty");
 }
 
@@ -219,7 +219,7 @@
         node.now += 30 * S;
         let (cold, place) = (Some(node.now), 0);
         let next = Member { place, ..member(1, Availability::Ready, cold) };
-        node.handle(Event::Members(MemberNews::Changes(vec![next])));
+        node.handle(Event::Members(ServerListUpdate::Changes(vec![next])));
         assert_eq!(node.controller.sizes().servers, 1, "its predecessor is removed");
         // The limit for a cold server is derived from the rate observed at its place.
         let mut sends = 0;
@@ -391,9 +391,9 @@
 fn renews_failed_subscription() {
     let settings = Settings { membership: Membership::Subscribe, ..settings() };
     let mut node = Node { controller: Controller::new(settings, 1).expect("usable"), now: 0 };
-    let first = node.handle(Event::Members(MemberNews::Complete(Vec::new())));
+    let first = node.handle(Event::Members(ServerListUpdate::Complete(Vec::new())));
     assert!(first.contains(&Action::Watch(true)));
-    node.handle(Event::Members(MemberNews::Failed));
+    node.handle(Event::Members(ServerListUpdate::Failed));
     node.now = 5 * S;
     assert!(node.handle(Event::Timer(9)).contains(&Action::Watch(true)));
 }
@@ -476,7 +476,7 @@
         node.serve_calls(1, serve_calls, 0, 10 * MS, 15 * MS);
         let renewed = member(7, Availability::Ready, Some(node.now));
         let renewed = lemoncleat::Member { place: 0, ..renewed };
-        node.handle(Event::Members(MemberNews::Complete(vec![renewed])));
+        node.handle(Event::Members(ServerListUpdate::Complete(vec![renewed])));
         let mut sends = 0;
         for id in 1_000..1_200 {
             let mut actions = node.call(id, 1, 0);
@@ -584,7 +584,7 @@
     for seed in 0..40 {
         let mut node = Node { controller: Controller::new(settings(), seed).expect("usable"), now: 0 };
         let members = (0..4).map(|number| member(number, Availability::Ready, None)).collect();
-        node.handle(Event::Members(MemberNews::Complete(members)));
+        node.handle(Event::Members(ServerListUpdate::Complete(members)));
         let none = Report { free: Some(0.0), lines: Some(9.0), ..Report::default() };
         node.handle(Event::Probed { server: ServerId(0), outcome: Outcome::Ok, lag: 0, report: none });
         chosen[sent(&node.call(1, 0, 0)).expect("a second choice") as usize] += 1;
@@ -600,7 +600,7 @@
     for seed in 0..60 {
         let mut node = Node { controller: Controller::new(settings(), seed).expect("usable"), now: 0 };
         let members = (0..2).map(|number| member(number, Availability::Ready, None)).collect();
-        node.handle(Event::Members(MemberNews::Complete(members)));
+        node.handle(Event::Members(ServerListUpdate::Complete(members)));
         for round in 0..6 {
             for server in 0..2 {
                 // The round trip takes 20 ms, the rest is waiting time.
@@ -794,7 +794,7 @@
     }
     assert_eq!(sent(&early), None, "list updates may still follow");
     let update = vec![member(0, Availability::Draining, None)];
-    node.handle(Event::Members(MemberNews::Changes(update)));
+    node.handle(Event::Members(ServerListUpdate::Changes(update)));
     node.handle(answer(10, to, 2 * S));
     node.handle(Event::Timer(1));
     let sends: Vec<_> = node
@@ -846,7 +846,7 @@
             ..member(number, Availability::Ready, None)
         })
         .collect();
-    node.handle(Event::Members(MemberNews::Complete(members)));
+    node.handle(Event::Members(ServerListUpdate::Complete(members)));
     node
 }
 
@@ -899,7 +899,7 @@
     let mut node = node_with_groups();
     let_servers_time_out(&mut node, 1, &[0, 1, 2]);
     let moved = lemoncleat::Member { zone: 99, kind: 77, ..member(3, Availability::Ready, None) };
-    node.handle(Event::Members(MemberNews::Changes(vec![moved])));
+    node.handle(Event::Members(ServerListUpdate::Changes(vec![moved])));
     node.advance(20 * MS);
     assert_eq!(sent(&node.call(20, 0, 3)), Some(3), "it no longer shares a group with the silent servers");
 }
@@ -926,7 +926,7 @@
     let mut node = Node::new(Settings { repeat: 100 * MS, ..settings() }, 1);
     node.serve_calls(1, 5, 0, 5 * MS, 20 * MS);
     let far = Member { zone: 1, ..member(1, Availability::Ready, None) };
-    node.handle(Event::Members(MemberNews::Complete(vec![far])));
+    node.handle(Event::Members(ServerListUpdate::Complete(vec![far])));
     for id in 10..40 {
         assert_eq!(sent(&node.call(id, 0, 1)), Some(1), "call {id}");
         node.advance(45 * MS);
--- a/crates/lemoncleat/tests/rules.rs
+++ b/crates/lemoncleat/tests/rules.rs
@@ -6,8 +6,8 @@
 
 use common::{call, member, settings, MS, S};
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, MemberNews, Micros, Outcome, Reason,
-    Report, ServerId, Settings,
+    Action, Availability, Call, CallId, Class, Controller, Event, Micros, Outcome, Reason, Report, ServerId,
+    ServerListUpdate, Settings,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -108,7 +108,7 @@
             next: 0,
         };
         let members = (0..SERVERS).map(|server| member(server, Availability::Ready, None)).collect();
-        host.deliver(Event::Members(MemberNews::Complete(members)));
+        host.deliver(Event::Members(ServerListUpdate::Complete(members)));
         host
     }
 
@@ -266,7 +266,7 @@
                     self.cold_sends.remove(&server);
                 }
                 let started = self.cold_since.get(&server).copied();
-                self.deliver(Event::Members(MemberNews::Changes(vec![member(server, state, started)])));
+                self.deliver(Event::Members(ServerListUpdate::Changes(vec![member(server, state, started)])));
             }
             Step::Complete(mask) => {
                 let mut members = Vec::new();
@@ -278,7 +278,7 @@
                         members.push(member(server, state, self.cold_since.get(&server).copied()));
                     }
                 }
-                self.deliver(Event::Members(MemberNews::Complete(members)));
+                self.deliver(Event::Members(ServerListUpdate::Complete(members)));
             }
             Step::Free(server, free) => {
                 let report = Report { free: (free >= 0.0).then_some(free), ..Report::default() };
@@ -337,7 +337,7 @@
     let mut controller = Controller::new(settings.clone(), seed).expect("usable settings");
     let (mut actions, mut now, mut id) = (Vec::new(), 50 * S, 0);
     let start = vec![member(0, Availability::Ready, None)];
-    controller.handle(now, Event::Members(MemberNews::Complete(start)), &mut actions);
+    controller.handle(now, Event::Members(ServerListUpdate::Complete(start)), &mut actions);
     let own = rate / f64::from(balancers);
     let mut chance = seed;
     while now < 110 * S {
@@ -363,7 +363,7 @@
         }
     }
     let fresh = vec![member(0, Availability::Ready, Some(now))];
-    controller.handle(now, Event::Members(MemberNews::Changes(fresh)), &mut actions);
+    controller.handle(now, Event::Members(ServerListUpdate::Changes(fresh)), &mut actions);
     let mut sends = 0;
     for step in 0..500 {
         id += 1;
@@ -419,7 +419,7 @@
         let mut controller = Controller::new(settings(), 5).expect("usable settings");
         let mut actions = Vec::new();
         let members = (0..SERVERS).map(|server| member(server, Availability::Ready, None)).collect();
-        controller.handle(0, Event::Members(MemberNews::Complete(members)), &mut actions);
+        controller.handle(0, Event::Members(ServerListUpdate::Complete(members)), &mut actions);
         for id in 0..200 {
             let now = id as Micros * 7 * MS;
             controller.handle(now, Event::Call(call(id, (id % 2) as usize, (id % 3) as i64)), &mut actions);
--- a/crates/lemoncleat/tests/world/mod.rs
+++ b/crates/lemoncleat/tests/world/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews, Micros, Outcome,
-    Reason, Report, ServerId, Settings,
+    Action, Availability, Call, CallId, Class, Controller, Event, Member, Micros, Outcome, Reason, Report,
+    ServerId, ServerListUpdate, Settings,
 };
 
 /// A millisecond.
@@ -450,7 +450,7 @@
             }
             SimEvent::Removed { node } => {
                 let gone = (0..self.cold).map(|one| self.member(one, Availability::Gone)).collect();
-                self.deliver(node, Event::Members(MemberNews::Changes(gone)));
+                self.deliver(node, Event::Members(ServerListUpdate::Changes(gone)));
             }
             SimEvent::Start => {
                 for server in 0..self.cold {
@@ -484,7 +484,7 @@
 
     fn send_list(&mut self, node: usize) {
         let all = (0..SERVERS).map(|one| self.member(one, Availability::Ready)).collect();
-        self.deliver(node, Event::Members(MemberNews::Complete(all)));
+        self.deliver(node, Event::Members(ServerListUpdate::Complete(all)));
     }
 
     fn call(&mut self, node: usize, class: usize, redialled: bool) {
