--- a/crates/lemoncleat-commons/src/lib.rs
+++ b/crates/lemoncleat-commons/src/lib.rs
@@ -1,6 +1,6 @@
 //! The fleet side of a node, without I/O: membership, published facts, and replicated state.
 //!
-//! A [`Part`] connects the state machines of `lemoncleat-fleet`, `lemoncleat-agreement`,
+//! A [`FleetNode`] connects the state machines of `lemoncleat-fleet`, `lemoncleat-agreement`,
 //! `lemoncleat-configuration` and `lemoncleat-consistency` to one carrier of messages between members, and
 //! returns actions for a driver. It does not handle calls. A node that belongs to no fleet has no part.
 
@@ -13,9 +13,9 @@
 mod state;
 
 pub use lemoncleat_configuration::Calls;
-pub use part::{Figures, Part, Said, Settings};
+pub use part::{Figures, FleetNode, Said, Settings};
 pub use rules::RulesCheck;
-pub use seat::Seat;
+pub use seat::VoterRole;
 
 /// A duration or a point in time, in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-commons/src/members.rs
+++ b/crates/lemoncleat-commons/src/members.rs
@@ -5,16 +5,16 @@
 
 use lemoncleat_fleet::{Input, Member, MemberId};
 
-use crate::part::{Names, Part, Said};
+use crate::part::{FleetNode, Names, Said};
 use crate::seat::Agreement;
 use crate::Micros;
 
 /// Maximum number of places, the same as in the node's core.
 const MAX_PLACES: usize = 16 * 1024;
 
-impl Part {
-    /// Checks whether [`Part::set_members`] would accept these members. A driver calls this before it puts a
-    /// text in force, so that the node's core and the part accept the same lists.
+impl FleetNode {
+    /// Checks whether [`FleetNode::set_members`] would accept these members. A driver calls this before it
+    /// puts a text in force, so that the node's core and the part accept the same lists.
     ///
     /// # Errors
     ///
@@ -38,7 +38,7 @@
     /// Replaces the member list. Members that stay keep their places, new ones get the next places in the
     /// order of the list, and the places of removed ones are never reused. `Input::Members` of the node's
     /// core does the same: it has to get the same list in the same turn, after the actions of this call are
-    /// carried out. A list that [`Part::check_members`] refuses changes nothing and is logged.
+    /// carried out. A list that [`FleetNode::check_members`] refuses changes nothing and is logged.
     pub fn set_members(&mut self, now: Micros, members: Vec<Member>, out: &mut Vec<Said>) {
         if let Err(why) = self.check_members(&members) {
             return out.push(Said::Log(true, format!("the member list is not changed: {why}")));
--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -13,7 +13,7 @@
 use crate::configuration::Configuration;
 use crate::fragments::{Fragmenter, PeerMessage};
 use crate::rules::{RulesCheck, RulesWatch};
-use crate::seat::{Action, Agreement, Seat};
+use crate::seat::{Action, Agreement, VoterRole};
 use crate::Micros;
 
 /// Maximum length of a message between nodes: the limit of the node's core.
@@ -66,12 +66,12 @@
 #[derive(Debug)]
 pub enum Said {
     /// Connect to this member, and reconnect whenever the connection is lost.
-    Meet(usize),
+    Connect(usize),
     /// Stop connecting to this member, and close the connection if this node opened it.
-    Part(usize),
+    Disconnect(usize),
     /// Send this message to this member, or drop it.
-    Word(usize, Vec<u8>),
-    /// Store this batch and call [`Part::stored`].
+    Send(usize, Vec<u8>),
+    /// Store this batch and call [`FleetNode::stored`].
     Store(Batch),
     /// Answer the operator on this connection.
     Answer(u64, Value),
@@ -79,22 +79,22 @@
     Fence(Option<Micros>),
     /// Log this line; the flag marks a warning.
     Log(bool, String),
-    /// Put this version of the configuration in force atomically and call [`Part::configured`]. Number 0 with
-    /// an empty text stands for the settings of the node's file.
-    Configure {
+    /// Put this version of the configuration in force atomically and call [`FleetNode::version_applied`].
+    /// Number 0 with an empty text stands for the settings of the node's file.
+    ApplyConfiguration {
         /// The number of the version.
         number: u64,
         /// The text of the version.
         text: String,
     },
-    /// Durably replace the saved copy by these bytes and call [`Part::kept`].
-    Keep(Vec<u8>),
+    /// Durably replace the saved copy by these bytes and call [`FleetNode::kept`].
+    Persist(Vec<u8>),
     /// The version in force at the start is decided: calls may be accepted.
-    Settled,
+    Ready,
 }
 
 /// The fleet side of one node.
-pub struct Part {
+pub struct FleetNode {
     pub(crate) fleet: Fleet,
     /// The members by place, including removed ones.
     pub(crate) ids: Vec<MemberId>,
@@ -114,7 +114,7 @@
     check_outputs: Vec<consistency::Output>,
 }
 
-impl Part {
+impl FleetNode {
     /// Creates the part of a node. `start` increases with each start of the process, as Origin-State-Id does
     /// (RFC 6733 section 8.16). The seed determines the random choices.
     ///
@@ -123,10 +123,10 @@
     /// If two members have the same name or identifier, the node is not a member, or a duration is zero.
     pub fn new(
         settings: &Settings,
-        seat: Seat,
+        seat: VoterRole,
         start: u32,
         seed: u64,
-    ) -> Result<Part, lemoncleat_fleet::SettingsError> {
+    ) -> Result<FleetNode, lemoncleat_fleet::SettingsError> {
         let mut core =
             lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Carrier::Connections);
         core.max_message = MAX_MESSAGE_BYTES;
@@ -149,7 +149,7 @@
             actions
                 .push(Action::Log(true, format!("this voter does not vote, its store can't be used: {why}")));
         }
-        Ok(Part {
+        Ok(FleetNode {
             fleet,
             places: ids.iter().copied().enumerate().map(|(place, id)| (id, place)).collect(),
             names,
@@ -183,7 +183,7 @@
     }
 
     /// Does a piece of the background work, which takes a few milliseconds at most. It is to be called while
-    /// no call waits, and followed by [`Part::worked`] with the time spent.
+    /// no call waits, and followed by [`FleetNode::worked`] with the time spent.
     pub fn work(&mut self, now: Micros, out: &mut Vec<Said>) {
         if let Some(watch) = &mut self.rules_watch {
             watch.work(now, &mut self.check_outputs);
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns the latest time at which [`Part::timeout`] is due.
+    /// Returns the latest time at which [`FleetNode::timeout`] is due.
     pub fn wake(&self) -> Option<Micros> {
         let agreement = self.agreement.as_ref().and_then(Agreement::wake);
         let watch = self.rules_watch.as_ref().and_then(RulesWatch::wake);
@@ -308,9 +308,11 @@
             distribution::Output::Send { to, bytes } => {
                 self.actions.push(Action::Send(MemberId(to), PeerMessage::Configuration(bytes)));
             }
-            distribution::Output::Apply { number, text } => out.push(Said::Configure { number, text }),
-            distribution::Output::Persist(bytes) => out.push(Said::Keep(bytes)),
-            distribution::Output::Ready => out.push(Said::Settled),
+            distribution::Output::Apply { number, text } => {
+                out.push(Said::ApplyConfiguration { number, text })
+            }
+            distribution::Output::Persist(bytes) => out.push(Said::Persist(bytes)),
+            distribution::Output::Ready => out.push(Said::Ready),
             distribution::Output::Propose(command) => {
                 if let Some(agreement) = &mut self.agreement {
                     agreement.propose_configuration(now, command, &mut self.actions);
@@ -371,9 +373,9 @@
     fn fleet_output(&mut self, now: Micros, output: Output, out: &mut Vec<Said>) {
         let place = |id: MemberId| self.places.get(&id).copied();
         match output {
-            Output::Tell { to, bytes } => out.extend(place(to).map(|place| Said::Word(place, bytes))),
-            Output::Meet(id) => out.extend(place(id).map(Said::Meet)),
-            Output::Part(id) => out.extend(place(id).map(Said::Part)),
+            Output::Tell { to, bytes } => out.extend(place(to).map(|place| Said::Send(place, bytes))),
+            Output::Meet(id) => out.extend(place(id).map(Said::Connect)),
+            Output::Part(id) => out.extend(place(id).map(Said::Disconnect)),
             Output::Direct { from, bytes } => {
                 match (self.fragmenter.reassemble(from, &bytes), &mut self.agreement, &mut self.rules_watch) {
                     (Some(PeerMessage::Configuration(bytes)), ..) => {
@@ -523,17 +525,23 @@
         self.distributor_input(now, distribution::Input::Loaded(kept), out);
     }
 
-    /// Handles the result of [`Said::Configure`].
-    pub fn configured(&mut self, now: Micros, number: u64, result: Result<(), String>, out: &mut Vec<Said>) {
+    /// Handles the result of [`Said::ApplyConfiguration`].
+    pub fn version_applied(
+        &mut self,
+        now: Micros,
+        number: u64,
+        result: Result<(), String>,
+        out: &mut Vec<Said>,
+    ) {
         self.distributor_input(now, distribution::Input::Applied { number, result }, out);
     }
 
-    /// Handles the result of [`Said::Keep`].
+    /// Handles the result of [`Said::Persist`].
     pub fn kept(&mut self, now: Micros, result: Result<(), String>, out: &mut Vec<Said>) {
         self.distributor_input(now, distribution::Input::Persisted(result), out);
     }
 
-    /// Takes the node's cumulative call counters since its start. To be called before [`Part::timeout`].
+    /// Takes the node's cumulative call counters since its start. To be called before [`FleetNode::timeout`].
     pub fn calls(&mut self, calls: Calls) {
         if let Some(configuration) = &mut self.configuration {
             configuration.calls = calls;
--- a/crates/lemoncleat-commons/src/seat.rs
+++ b/crates/lemoncleat-commons/src/seat.rs
@@ -24,7 +24,7 @@
 
 /// The role of a node in the agreement.
 #[derive(Debug)]
-pub enum Seat {
+pub enum VoterRole {
     /// A voter, with the content of its store.
     Voter(Found),
     /// A voter whose store can't be used, with the reason. It only follows, and its calls go on.
@@ -96,7 +96,7 @@
         names: Names,
         own: MemberId,
         voters: Vec<MemberId>,
-        seat: Seat,
+        seat: VoterRole,
         tick: Micros,
         seed: u64,
     ) -> Agreement {
@@ -110,11 +110,11 @@
             snapshot_every: SNAPSHOT_INTERVAL,
         };
         let voter_or_error = match seat {
-            Seat::Voter(found) => {
+            VoterRole::Voter(found) => {
                 Voter::new(settings, found, seed).map_err(|error| error.to_string()).map(Some)
             }
-            Seat::Broken(why) => Err(why),
-            Seat::Follower => Ok(None),
+            VoterRole::Broken(why) => Err(why),
+            VoterRole::Follower => Ok(None),
         };
         let follower = || Core::Follower(Follower::new(voter_number(own), &numbers, timing, seed));
         let (core, store_error) = match voter_or_error {
--- a/crates/lemoncleat-commons/tests/configuration.rs
+++ b/crates/lemoncleat-commons/tests/configuration.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use lemoncleat_agreement::Found;
-use lemoncleat_commons::{Calls, Figures, Micros, Part, Said, Seat, Settings};
+use lemoncleat_commons::{Calls, Figures, FleetNode, Micros, Said, Settings, VoterRole};
 use lemoncleat_fleet::Member;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -24,7 +24,7 @@
 }
 
 struct Net {
-    parts: Vec<Option<Part>>,
+    parts: Vec<Option<FleetNode>>,
     configuration: bool,
     rng: SmallRng,
     now: Micros,
@@ -77,8 +77,8 @@
             round: SECOND,
             configuration: self.configuration,
         };
-        let seat = if at < 3 { Seat::Voter(Found::new(at as u64 + 1)) } else { Seat::Follower };
-        let part = Part::new(&settings, seat, start, at as u64).expect("good settings");
+        let seat = if at < 3 { VoterRole::Voter(Found::new(at as u64 + 1)) } else { VoterRole::Follower };
+        let part = FleetNode::new(&settings, seat, start, at as u64).expect("good settings");
         self.parts[at] = Some(part);
         (self.in_force[at], self.ready_at[at]) = ((0, String::new()), None);
         let saved = self.saved[at].clone();
@@ -107,30 +107,32 @@
     fn with_part<T>(
         &mut self,
         at: usize,
-        call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>) -> T,
+        call: impl FnOnce(&mut FleetNode, Micros, &mut Vec<Said>) -> T,
     ) -> Option<T> {
         let mut actions = Vec::new();
         let result = call(self.parts[at].as_mut()?, self.now, &mut actions);
         for action in actions {
             match action {
-                Said::Meet(other) => {
+                Said::Connect(other) => {
                     if self.parts[other].is_some() && self.links.insert((at.min(other), at.max(other))) {
                         self.schedule(at, other, Event::Linked(other, true));
                         self.schedule(other, at, Event::Linked(at, true));
                     }
                 }
-                Said::Word(other, message) if self.links.contains(&(at.min(other), at.max(other))) => {
+                Said::Send(other, message) if self.links.contains(&(at.min(other), at.max(other))) => {
                     self.messages += 1;
                     self.bytes += message.len() as u64;
                     self.schedule(other, at, Event::Message(at, message));
                 }
                 Said::Store(batch) => self.schedule(at, at, Event::Stored(batch.number)),
-                Said::Configure { number, text } => self.schedule(at, at, Event::Applied(number, text)),
-                Said::Keep(bytes) => self.schedule(at, at, Event::Persisted(bytes)),
-                Said::Settled => self.ready_at[at] = Some(self.now),
+                Said::ApplyConfiguration { number, text } => {
+                    self.schedule(at, at, Event::Applied(number, text))
+                }
+                Said::Persist(bytes) => self.schedule(at, at, Event::Persisted(bytes)),
+                Said::Ready => self.ready_at[at] = Some(self.now),
                 Said::Answer(conn, answer) => self.answers.push((conn, answer)),
                 Said::Log(_, text) => self.log.push((at, text)),
-                Said::Part(_) | Said::Word(..) | Said::Fence(_) => {}
+                Said::Disconnect(_) | Said::Send(..) | Said::Fence(_) => {}
             }
         }
         Some(result)
@@ -180,7 +182,7 @@
                     self.in_force[at] = (number, text);
                     Ok(())
                 };
-                self.with_part(at, |part, now, actions| part.configured(now, number, result, actions));
+                self.with_part(at, |part, now, actions| part.version_applied(now, number, result, actions));
             }
             Event::Persisted(bytes) => {
                 self.saved[at] = Some(bytes);
--- a/crates/lemoncleat-commons/tests/members.rs
+++ b/crates/lemoncleat-commons/tests/members.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use lemoncleat_commons::{Figures, Micros, Part, Said, Seat, Settings};
+use lemoncleat_commons::{Figures, FleetNode, Micros, Said, Settings, VoterRole};
 use lemoncleat_fleet::Member;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -19,11 +19,11 @@
     of.iter().map(|at| Member { name: name(*at), zone: "z".into() }).collect()
 }
 
-fn part(own: usize, of: &[usize], voters: &[usize], seed: u64) -> Part {
+fn part(own: usize, of: &[usize], voters: &[usize], seed: u64) -> FleetNode {
     let voters = voters.iter().map(|at| name(*at)).collect();
     let settings =
         Settings { own: name(own), members: members(of), voters, round: 200 * MS, configuration: false };
-    Part::new(&settings, Seat::Follower, 1, seed).expect("good settings")
+    FleetNode::new(&settings, VoterRole::Follower, 1, seed).expect("good settings")
 }
 
 /// A delivery: receiver, sender, and a message or whether the connection was established.
@@ -31,7 +31,7 @@
 
 /// A node: its part, and the members by place as in the node's core in `lemoncleat-node`.
 struct Host {
-    part: Part,
+    part: FleetNode,
     places: Vec<Option<usize>>,
 }
 
@@ -88,7 +88,7 @@
         others.into_iter().for_each(|other| self.unlink(at, other));
     }
 
-    fn with_part(&mut self, at: usize, call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
+    fn with_part(&mut self, at: usize, call: impl FnOnce(&mut FleetNode, Micros, &mut Vec<Said>)) {
         let mut actions = Vec::new();
         let Some(node) = self.nodes.get_mut(&at) else { return };
         call(&mut node.part, self.now, &mut actions);
@@ -96,7 +96,7 @@
         let member_at = |place: usize| places.get(place).copied().flatten();
         for action in actions {
             match action {
-                Said::Meet(place) => {
+                Said::Connect(place) => {
                     let Some(other) = member_at(place) else { continue };
                     let has_member = |node: &Host| node.places.contains(&Some(at));
                     if self.nodes.get(&other).is_some_and(has_member)
@@ -106,15 +106,15 @@
                         self.schedule(other, at, Err(true));
                     }
                 }
-                Said::Word(place, message) => {
+                Said::Send(place, message) => {
                     let linked = |other: &usize| self.links.contains(&(at.min(*other), at.max(*other)));
                     if let Some(other) = member_at(place).filter(linked) {
                         self.schedule(other, at, Ok(message));
                     }
                 }
                 Said::Log(bad, text) => self.log.push((at, bad, text)),
-                Said::Part(_) | Said::Fence(_) | Said::Store(_) | Said::Answer(..) => {}
-                Said::Configure { .. } | Said::Keep(_) | Said::Settled => {}
+                Said::Disconnect(_) | Said::Fence(_) | Said::Store(_) | Said::Answer(..) => {}
+                Said::ApplyConfiguration { .. } | Said::Persist(_) | Said::Ready => {}
             }
         }
     }
--- a/crates/lemoncleat-commons/tests/rules.rs
+++ b/crates/lemoncleat-commons/tests/rules.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use lemoncleat::{Action, Class, Controller, Event, Settings as Module};
-use lemoncleat_commons::{Figures, Micros, Part, RulesCheck, Said, Seat, Settings};
+use lemoncleat_commons::{Figures, FleetNode, Micros, RulesCheck, Said, Settings, VoterRole};
 use lemoncleat_consistency::{Decider, Limits, PlanEntry, Rules};
 use lemoncleat_fleet::Member;
 use rand::rngs::SmallRng;
@@ -50,7 +50,7 @@
 type Delivery = (usize, usize, Result<Vec<u8>, bool>);
 
 struct Net {
-    parts: Vec<Option<Part>>,
+    parts: Vec<Option<FleetNode>>,
     faulty: BTreeSet<usize>,
     worth: Vec<f64>,
     fences: bool,
@@ -95,7 +95,7 @@
         let settings =
             Settings { own: name(at), members, voters: Vec::new(), round: 200 * MS, configuration: false };
         let seed = self.rng.random();
-        let mut part = Part::new(&settings, Seat::Follower, start, seed).expect("good settings");
+        let mut part = FleetNode::new(&settings, VoterRole::Follower, start, seed).expect("good settings");
         let limits = Limits { fences: self.fences, share: 20, ..Limits::default() };
         let check = RulesCheck { rules: rules(self.worth[at]), limits, processor: 100 };
         let mut actions = Vec::new();
@@ -126,27 +126,29 @@
     fn carry_out(&mut self, at: usize, actions: Vec<Said>) {
         for action in actions {
             match action {
-                Said::Meet(other) => {
+                Said::Connect(other) => {
                     let running = self.parts[other].is_some();
                     if running && self.links.insert((at.min(other), at.max(other))) {
                         self.schedule(at, other, Err(true));
                         self.schedule(other, at, Err(true));
                     }
                 }
-                Said::Word(other, message) if self.links.contains(&(at.min(other), at.max(other))) => {
+                Said::Send(other, message) if self.links.contains(&(at.min(other), at.max(other))) => {
                     self.schedule(other, at, Ok(message));
                 }
                 Said::Fence(retry_after) => {
                     self.fenced.insert(at, retry_after);
                 }
                 Said::Log(_, text) => self.log.push((self.now, at, text)),
-                Said::Part(_) | Said::Word(..) | Said::Store(_) | Said::Answer(..) => {}
-                Said::Configure { .. } | Said::Keep(_) | Said::Settled => panic!("without a configuration"),
+                Said::Disconnect(_) | Said::Send(..) | Said::Store(_) | Said::Answer(..) => {}
+                Said::ApplyConfiguration { .. } | Said::Persist(_) | Said::Ready => {
+                    panic!("without a configuration")
+                }
             }
         }
     }
 
-    fn with_part(&mut self, at: usize, call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
+    fn with_part(&mut self, at: usize, call: impl FnOnce(&mut FleetNode, Micros, &mut Vec<Said>)) {
         FAULTY.set(self.faulty.contains(&at));
         let mut actions = Vec::new();
         if let Some(part) = &mut self.parts[at] {
@@ -323,7 +325,7 @@
     let members = (0..5).map(|at| Member { name: format!("n{at}").into(), zone: "z".into() }).collect();
     let settings =
         Settings { own: "n0".into(), members, voters: Vec::new(), round: 200 * MS, configuration: false };
-    let mut part = Part::new(&settings, Seat::Follower, 1, 1).expect("good settings");
+    let mut part = FleetNode::new(&settings, VoterRole::Follower, 1, 1).expect("good settings");
     let check = RulesCheck { rules: rules(1.0), limits: Limits::default(), processor: 10 };
     let mut actions = Vec::new();
     part.watch::<Controller>(0, check, &mut actions);
--- a/crates/lemoncleat-service/src/fleet.rs
+++ b/crates/lemoncleat-service/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use lemoncleat::Controller;
 use lemoncleat_agreement::{Store, Writer};
-use lemoncleat_commons::{Calls, Figures, Part, RulesCheck, Said, Seat, Settings};
+use lemoncleat_commons::{Calls, Figures, FleetNode, RulesCheck, Said, Settings, VoterRole};
 use lemoncleat_consistency::{Limits, Rules};
 use lemoncleat_node::Stats;
 
@@ -23,7 +23,7 @@
 
 /// The fleet logic of a node with its storage thread.
 pub(crate) struct FleetDriver {
-    pub(crate) part: Part,
+    pub(crate) part: FleetNode,
     writer: Option<Writer>,
     /// The configuration threads, if the fleet has a common configuration.
     pub(crate) configuration: Option<ConfigurationDriver>,
@@ -38,13 +38,16 @@
 fn open_store(
     directory: &Path,
     mut stored: impl FnMut(Stored) + Send + 'static,
-) -> Result<(Seat, Writer), String> {
+) -> Result<(VoterRole, Writer), String> {
     std::fs::create_dir_all(directory).map_err(|error| format!("{}: {error}", directory.display()))?;
     let store =
         Store::open(&directory.join(STORE_FILE), random_store_id()).map_err(|error| error.to_string())?;
     let found = store.read_all().map_err(|error| error.to_string())?;
     let writer = Writer::start(store, move |batch, result| stored((batch, result)));
-    Ok((Seat::Voter(found), writer.map_err(|error| format!("could not start the storage thread: {error}"))?))
+    Ok((
+        VoterRole::Voter(found),
+        writer.map_err(|error| format!("could not start the storage thread: {error}"))?,
+    ))
 }
 
 impl FleetDriver {
@@ -59,8 +62,8 @@
     ) -> Result<FleetDriver, String> {
         let (seat, writer) = match settings.store.as_deref().map(|directory| open_store(directory, stored)) {
             Some(Ok((seat, writer))) => (seat, Some(writer)),
-            Some(Err(why)) => (Seat::Broken(why), None),
-            None => (Seat::Follower, None),
+            Some(Err(why)) => (VoterRole::Broken(why), None),
+            None => (VoterRole::Follower, None),
         };
         let settings = Settings {
             own: host.into(),
@@ -69,7 +72,7 @@
             round: settings.round,
             configuration: settings.configuration.is_some(),
         };
-        let part = Part::new(&settings, seat, start, seed).map_err(|error| error.to_string())?;
+        let part = FleetNode::new(&settings, seat, start, seed).map_err(|error| error.to_string())?;
         Ok(FleetDriver { part, writer, configuration: None })
     }
 
--- a/crates/lemoncleat-service/src/service.rs
+++ b/crates/lemoncleat-service/src/service.rs
@@ -19,7 +19,7 @@
     ConnId, Input, ListEntry, ListNews, Micros, Node, NodeSettings, Output, PeerId, Stats,
 };
 
-use lemoncleat_commons::{Part, Said};
+use lemoncleat_commons::{FleetNode, Said};
 use serde_json::json;
 
 use crate::config::Config;
@@ -467,7 +467,7 @@
     }
 
     /// Calls the fleet logic and executes the actions that it returns.
-    fn with_fleet(&mut self, call: impl FnOnce(&mut Part, Micros, &mut Vec<Said>)) {
+    fn with_fleet(&mut self, call: impl FnOnce(&mut FleetNode, Micros, &mut Vec<Said>)) {
         let now = self.clock();
         let Some(driver) = &mut self.fleet else { return };
         call(&mut driver.part, now, &mut self.actions);
@@ -480,9 +480,9 @@
 
     fn perform_fleet_action(&mut self, now: Micros, action: Said) {
         match action {
-            Said::Meet(member) => self.handle(Input::Meet(member)),
-            Said::Part(member) => self.handle(Input::Part(member)),
-            Said::Word(member, bytes) => self.handle(Input::Word(member, &bytes)),
+            Said::Connect(member) => self.handle(Input::Meet(member)),
+            Said::Disconnect(member) => self.handle(Input::Part(member)),
+            Said::Send(member, bytes) => self.handle(Input::Word(member, &bytes)),
             Said::Answer(conn, answer) if self.operators.contains_key(&conn) => {
                 self.net.send(conn, format!("{answer}\n").as_bytes());
             }
@@ -496,21 +496,21 @@
                 }
             }
             Said::Fence(come_back) => self.handle(Input::Fence(come_back)),
-            Said::Configure { number, text } => {
+            Said::ApplyConfiguration { number, text } => {
                 let Some(driver) = &mut self.fleet else { return };
                 if !driver.configuration.as_ref().is_some_and(|threads| threads.read(number, text)) {
                     let why = Err("the configuration reader thread has ended".to_owned());
-                    driver.part.configured(now, number, why, &mut self.actions);
+                    driver.part.version_applied(now, number, why, &mut self.actions);
                 }
             }
-            Said::Keep(bytes) => {
+            Said::Persist(bytes) => {
                 let Some(driver) = &mut self.fleet else { return };
                 if !driver.configuration.as_ref().is_some_and(|threads| threads.store(bytes)) {
                     let why = Err("the thread that keeps the configuration has ended".to_owned());
                     driver.part.kept(now, why, &mut self.actions);
                 }
             }
-            Said::Settled => self.release_clients(),
+            Said::Ready => self.release_clients(),
             Said::Log(true, text) => tracing::warn!(node = &*self.host, "{text}"),
             Said::Log(false, text) => tracing::info!(node = &*self.host, "{text}"),
         }
@@ -550,7 +550,7 @@
             }
             ConfigurationResult::Read { number, result } => {
                 let result = result.and_then(|config| self.apply_configuration(number, *config));
-                self.with_fleet(|part, now, actions| part.configured(now, number, result, actions));
+                self.with_fleet(|part, now, actions| part.version_applied(now, number, result, actions));
             }
             ConfigurationResult::Checked { conn, order, parent, text, result } => {
                 if let Some(threads) = self.fleet.as_mut().and_then(|driver| driver.configuration.as_mut()) {
--- a/crates/lemoncleat-simulate/src/fleet/mod.rs
+++ b/crates/lemoncleat-simulate/src/fleet/mod.rs
@@ -1,6 +1,6 @@
-//! Simulates a fleet under the virtual clock: the real [`Part`](lemoncleat_commons::Part)s of 9 to 300
-//! processes and more, connections that delay, hold back and end, operators that set marks, and faults. A
-//! seed draws all of it. Invariants are checked at each step by code that shares nothing with the cores.
+//! Simulates a fleet under the virtual clock: the real [`FleetNode`](lemoncleat_commons::FleetNode)s of 9 to
+//! 300 processes and more, connections that delay, hold back and end, operators that set marks, and faults.
+//! A seed draws all of it. Invariants are checked at each step by code that shares nothing with the cores.
 
 mod changes;
 mod judge;
--- a/crates/lemoncleat-simulate/src/fleet/run.rs
+++ b/crates/lemoncleat-simulate/src/fleet/run.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use lemoncleat_agreement::{Batch, Found};
-use lemoncleat_commons::{Calls, Figures, Part, Said, Seat, Settings};
+use lemoncleat_commons::{Calls, Figures, FleetNode, Said, Settings, VoterRole};
 use lemoncleat_fleet::{Member, MemberId};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -127,7 +127,7 @@
 }
 
 struct Node {
-    part: Option<Box<Part>>,
+    part: Option<Box<FleetNode>>,
     generation: u32,
     start_number: u32,
     disk: Option<Found>,
@@ -414,8 +414,8 @@
             round: self.plan.round,
             configuration: self.versions.is_some(),
         };
-        let seat = node.disk.clone().map_or(Seat::Follower, Seat::Voter);
-        match Part::new(&settings, seat, node.start_number, seed) {
+        let seat = node.disk.clone().map_or(VoterRole::Follower, VoterRole::Voter);
+        match FleetNode::new(&settings, seat, node.start_number, seed) {
             Ok(part) => node.part = Some(Box::new(part)),
             Err(error) => return self.fail(format!("node {place} does not start: {error}")),
         }
@@ -493,7 +493,7 @@
                 }
                 Input::Found(copy) => part.found(local, copy.clone(), &mut outputs),
                 Input::Configured(number, result) => {
-                    part.configured(local, *number, result.clone(), &mut outputs);
+                    part.version_applied(local, *number, result.clone(), &mut outputs);
                 }
                 Input::Kept(result) => part.kept(local, result.clone(), &mut outputs),
                 Input::Change { number, parent } => {
@@ -562,16 +562,16 @@
     fn handle_output(&mut self, place: usize, output: Said) {
         let generation = self.nodes[place].generation;
         match output {
-            Said::Meet(to) => {
+            Said::Connect(to) => {
                 if self.nodes[place].wanted_peers.insert(to) {
                     self.after(0, Event::Dial { node: place, generation, to });
                 }
             }
-            Said::Part(to) => {
+            Said::Disconnect(to) => {
                 self.nodes[place].wanted_peers.remove(&to);
                 self.close_link(place, to);
             }
-            Said::Word(to, bytes) => self.send_message(place, to, bytes),
+            Said::Send(to, bytes) => self.send_message(place, to, bytes),
             Said::Store(batch) => {
                 let slow = self.fault_active(FaultKind::DiskSlow, place);
                 let span = self.random.random_range(DISK_LATENCY_US.0..DISK_LATENCY_US.1);
@@ -581,8 +581,8 @@
                 }
                 self.after(span, Event::Stored { node: place, generation });
             }
-            Said::Configure { number, text } => self.configure(place, number, text),
-            Said::Keep(bytes) => {
+            Said::ApplyConfiguration { number, text } => self.configure(place, number, text),
+            Said::Persist(bytes) => {
                 let slow = self.fault_active(FaultKind::DiskSlow, place);
                 let span = self.random.random_range(DISK_LATENCY_US.0..DISK_LATENCY_US.1)
                     + if slow { SECOND } else { 0 };
@@ -591,7 +591,7 @@
                 }
                 self.after(span, Event::Kept { node: place, generation });
             }
-            Said::Settled => {
+            Said::Ready => {
                 self.trace_line(|| format!("n{place} has decided at its start which version is in force"));
                 let result = self.versions.as_mut().map_or(Ok(()), |versions| versions.check_settled(place));
                 self.record(result);
