--- a/crates/lemoncleat-access/src/fleet.rs
+++ b/crates/lemoncleat-access/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use lemoncleat_core::Micros;
 use lemoncleat_fleet::{
-    Carrier, Fleet, Input, Member, MemberId, Notice as FleetNotice, Output, Settings, State,
+    Fleet, Input, Member, MemberId, Notice as FleetNotice, Output, Settings, State, Transport,
 };
 
 use crate::interface;
@@ -94,7 +94,7 @@
         let names = (0..self.peer_messages.peers()).map(|number| number.to_string());
         let members: Vec<_> = names.map(|name| Member { name: name.into(), zone: "".into() }).collect();
         let ids: Vec<_> = members.iter().map(|member| MemberId::of(&member.name)).collect();
-        let settings = Settings::new(&self.own_number.to_string(), members, Carrier::Notes);
+        let settings = Settings::new(&self.own_number.to_string(), members, Transport::Notes);
         // The seconds increase with each start. A node restarted within the same second learns of its
         // previous start from the others and continues above it.
         let start = u32::try_from(self.epoch / 1_000_000).unwrap_or(0);
@@ -150,7 +150,7 @@
         let mut outputs = Vec::new();
         for _ in 0..MAX_MESSAGES_PER_TURN {
             let Some((from, bytes)) = joined.waiting.pop_front() else { break };
-            joined.core.handle(self.now, Input::Heard { from, bytes: &bytes }, &mut outputs);
+            joined.core.handle(self.now, Input::Received { from, bytes: &bytes }, &mut outputs);
         }
         if joined.core.wake().is_some_and(|due| due <= self.now) {
             joined.core.handle(self.now, Input::Timeout, &mut outputs);
@@ -167,7 +167,7 @@
 
     fn fleet_output(&mut self, joined: &mut JoinedFleet, output: Output) {
         match output {
-            Output::Tell { to, bytes } => {
+            Output::Send { to, bytes } => {
                 let number = joined.numbers.get(&to).copied();
                 let address = number.and_then(|number| self.peer_messages.address(number));
                 let rest = bytes.strip_prefix(digest(joined.core.own()).as_slice());
@@ -195,9 +195,11 @@
             Output::Notice(notice) => {
                 let line = match notice {
                     FleetNotice::Stranger(id) => format!("{} is not a member", joined.name(id)),
-                    FleetNotice::Impostor(id) => format!("{} claims another member's id", joined.name(id)),
+                    FleetNotice::ForgedSender(id) => {
+                        format!("{} claims another member's id", joined.name(id))
+                    }
                     FleetNotice::Unreadable(id) => format!("a message of {} can't be read", joined.name(id)),
-                    FleetNotice::Jumped => {
+                    FleetNotice::IncarnationRaised => {
                         "the fleet knows a later start of this node; continuing above it".to_owned()
                     }
                     FleetNotice::Paused(span) => format!("no turn for {} ms", span / 1_000),
@@ -211,7 +213,7 @@
             }
             // The access node publishes no facts and sends no direct messages yet; datagrams need no
             // connections.
-            Output::Fact(_) | Output::Direct { .. } | Output::Meet(_) | Output::Part(_) => {}
+            Output::Fact(_) | Output::Direct { .. } | Output::Connect(_) | Output::Disconnect(_) => {}
         }
     }
 
--- a/crates/lemoncleat-commons/benches/size.rs
+++ b/crates/lemoncleat-commons/benches/size.rs
@@ -16,7 +16,7 @@
 use lemoncleat_agreement::{Follower, Found, Input, Output, Settings, Timing, Voter};
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{MessageBuilder, MessageRef};
-use lemoncleat_fleet::{Carrier, Fleet, Member, MemberId};
+use lemoncleat_fleet::{Fleet, Member, MemberId, Transport};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use record::{record, Series, Spent};
@@ -34,7 +34,7 @@
 fn overhead() -> (u64, u64) {
     let members: Vec<Member> =
         ["node-0001", "node-0002"].map(|it| Member { name: it.into(), zone: "z".into() }).to_vec();
-    let settings = lemoncleat_fleet::Settings::new("node-0001", members, Carrier::Connections);
+    let settings = lemoncleat_fleet::Settings::new("node-0001", members, Transport::Connections);
     let mut fleet = Fleet::new(settings, 1_700_000_000, 1).expect("settings");
     let (mut out, to) = (Vec::new(), MemberId::of("node-0002"));
     fleet.handle(SECOND_US, lemoncleat_fleet::Input::Timeout, &mut out);
@@ -48,7 +48,7 @@
     let bytes = vec![0; 12];
     fleet.handle(6 * SECOND_US, lemoncleat_fleet::Input::Direct { to, bytes }, &mut out);
     let messages = out.iter().filter_map(|output| match output {
-        lemoncleat_fleet::Output::Tell { bytes, .. } => Some(bytes.len()),
+        lemoncleat_fleet::Output::Send { bytes, .. } => Some(bytes.len()),
         _ => None,
     });
     let fleet = messages.max().expect("a message") - 12 + 2;
--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -6,7 +6,7 @@
 use lemoncleat_agreement::Batch;
 use lemoncleat_configuration::{self as distribution, Calls};
 use lemoncleat_consistency::{self as consistency, Decider};
-use lemoncleat_fleet::{Carrier, Fleet, Input, Kind, Member, MemberId, Notice, Output, State, Timing};
+use lemoncleat_fleet::{Fleet, Input, Kind, Member, MemberId, Notice, Output, State, Timing, Transport};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
@@ -128,7 +128,7 @@
         seed: u64,
     ) -> Result<FleetNode, lemoncleat_fleet::SettingsError> {
         let mut core =
-            lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Carrier::Connections);
+            lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Transport::Connections);
         core.max_message = MAX_MESSAGE_BYTES;
         core.timing = timing(settings.round);
         let fleet = Fleet::new(core, start, seed)?;
@@ -257,7 +257,7 @@
     /// Handles a message of a member.
     pub fn heard(&mut self, now: Micros, place: usize, bytes: &[u8], out: &mut Vec<Said>) {
         let Some(from) = self.ids.get(place).copied() else { return };
-        self.fleet.handle(now, Input::Heard { from, bytes }, &mut self.outputs);
+        self.fleet.handle(now, Input::Received { from, bytes }, &mut self.outputs);
         self.process_outputs(now, out);
     }
 
@@ -373,9 +373,9 @@
     fn fleet_output(&mut self, now: Micros, output: Output, out: &mut Vec<Said>) {
         let place = |id: MemberId| self.places.get(&id).copied();
         match output {
-            Output::Tell { to, bytes } => out.extend(place(to).map(|place| Said::Send(place, bytes))),
-            Output::Meet(id) => out.extend(place(id).map(Said::Connect)),
-            Output::Part(id) => out.extend(place(id).map(Said::Disconnect)),
+            Output::Send { to, bytes } => out.extend(place(to).map(|place| Said::Send(place, bytes))),
+            Output::Connect(id) => out.extend(place(id).map(Said::Connect)),
+            Output::Disconnect(id) => out.extend(place(id).map(Said::Disconnect)),
             Output::Direct { from, bytes } => {
                 match (self.fragmenter.reassemble(from, &bytes), &mut self.agreement, &mut self.rules_watch) {
                     (Some(PeerMessage::Configuration(bytes)), ..) => {
@@ -431,9 +431,13 @@
     fn describe_notice(&self, notice: Notice) -> Said {
         let text = match notice {
             Notice::Stranger(id) => format!("a word of a process that is no member: {id}"),
-            Notice::Impostor(id) => format!("{} sends messages in the name of another member", self.name(id)),
+            Notice::ForgedSender(id) => {
+                format!("{} sends messages in the name of another member", self.name(id))
+            }
             Notice::Unreadable(id) => format!("a word of {} can't be read", self.name(id)),
-            Notice::Jumped => "the fleet remembers a later start of this node: clock set back?".to_owned(),
+            Notice::IncarnationRaised => {
+                "the fleet remembers a later start of this node: clock set back?".to_owned()
+            }
             Notice::Paused(span) => format!("the process was paused for {:.1} s", span as f64 / 1e6),
             Notice::DirectDropped(id) => format!("words for {} were dropped", self.name(id)),
             Notice::FactDropped(id) => {
@@ -591,7 +595,7 @@
     Timing {
         round,
         answer: scaled(usual.answer),
-        suspect: scaled(usual.suspect),
+        suspicion_timeout: scaled(usual.suspicion_timeout),
         gossip: scaled(usual.gossip),
         sync: scaled(usual.sync),
         retry: scaled(usual.retry),
--- a/crates/lemoncleat-fleet/benches/fleet.rs
+++ b/crates/lemoncleat-fleet/benches/fleet.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use common::{Net, SECOND};
-use lemoncleat_fleet::{Carrier, Output, State};
+use lemoncleat_fleet::{Output, State, Transport};
 
 fn seconds(span: Option<i64>) -> f64 {
     span.map_or(f64::NAN, |span| span as f64 / SECOND as f64)
@@ -29,7 +29,7 @@
 }
 
 fn main() {
-    for carrier in [Carrier::Notes, Carrier::Connections] {
+    for carrier in [Transport::Notes, Transport::Connections] {
         for size in [9, 64, 300] {
             let mut net = Net::new(size, carrier, 1);
             net.age_slack = 1_000 * SECOND;
--- a/crates/lemoncleat-fleet/benches/size.rs
+++ b/crates/lemoncleat-fleet/benches/size.rs
@@ -15,7 +15,7 @@
 
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{MessageBuilder, MessageRef};
-use lemoncleat_fleet::{Carrier, Fleet, Input, Kind, Member, MemberId, Micros, Output, Settings, State};
+use lemoncleat_fleet::{Fleet, Input, Kind, Member, MemberId, Micros, Output, Settings, State, Transport};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use record::{record, Series, Spent};
@@ -60,8 +60,8 @@
 }
 
 impl Wire {
-    fn new(carrier: Carrier) -> Wire {
-        if carrier == Carrier::Notes {
+    fn new(carrier: Transport) -> Wire {
+        if carrier == Transport::Notes {
             // The headers of UDP and IPv4; there is no answer.
             return Wire { overhead: 28, answer: 0, padding: 1 };
         }
@@ -90,7 +90,7 @@
     nodes: Vec<Option<Fleet>>,
     members: Vec<Member>,
     indices: HashMap<MemberId, usize>,
-    carrier: Carrier,
+    carrier: Transport,
     round: Micros,
     wire: Wire,
     cut: BTreeSet<(usize, usize)>,
@@ -113,7 +113,7 @@
 }
 
 impl Net {
-    fn new(size: usize, carrier: Carrier, round: Micros) -> Net {
+    fn new(size: usize, carrier: Transport, round: Micros) -> Net {
         let name = |at: usize| Member {
             name: format!("node-{at:04}.calls.example").into(),
             zone: format!("z{}", at % 8).into(),
@@ -149,14 +149,14 @@
         let own = self.members[at].name.clone();
         let mut settings = Settings::new(&own, self.members.clone(), self.carrier);
         // As in a node that is part of a fleet: the longest message, and timeouts in proportion to the round.
-        if self.carrier == Carrier::Connections {
+        if self.carrier == Transport::Connections {
             settings.max_message = 32 * 1024;
         }
         let usual = settings.timing;
         let scaled = |span: Micros| (span * self.round / usual.round).max(1_000);
         settings.timing.round = self.round;
         settings.timing.answer = scaled(usual.answer);
-        settings.timing.suspect = scaled(usual.suspect);
+        settings.timing.suspicion_timeout = scaled(usual.suspicion_timeout);
         settings.timing.gossip = scaled(usual.gossip);
         settings.timing.sync = scaled(usual.sync);
         settings.timing.retry = scaled(usual.retry);
@@ -237,7 +237,7 @@
 
     fn apply_output(&mut self, at: usize, output: Output) {
         match output {
-            Output::Tell { to, bytes } => {
+            Output::Send { to, bytes } => {
                 let to = self.indices[&to];
                 let window = &mut self.window[at];
                 window.messages_sent += 1;
@@ -248,11 +248,11 @@
                     self.push(delay, Event::Message(at, to, bytes));
                 }
             }
-            Output::Meet(to) => {
+            Output::Connect(to) => {
                 let to = self.indices[&to];
                 self.push(10_000, Event::Link(at, to));
             }
-            Output::Part(to) => {
+            Output::Disconnect(to) => {
                 let to = self.indices[&to];
                 let pair = (at.min(to), at.max(to));
                 if self.links.get(&pair) == Some(&at) {
@@ -308,7 +308,7 @@
                 window.wire_sent += answer;
                 self.window[from].wire_received += answer;
                 let from = MemberId::of(&self.members[from].name);
-                self.turn(at, Input::Heard { from, bytes: &bytes });
+                self.turn(at, Input::Received { from, bytes: &bytes });
             }
             Event::Link(at, to) => {
                 if self.nodes[at].is_some() && self.nodes[to].is_some() && !self.cut.contains(&(at, to)) {
@@ -419,7 +419,7 @@
     net.print(what);
 }
 
-fn members(size: usize, carrier: Carrier, round: Micros) {
+fn members(size: usize, carrier: Transport, round: Micros) {
     let before = resident();
     let mut net = Net::new(size, carrier, round);
     start_all(&mut net, "start");
@@ -449,7 +449,7 @@
 }
 
 fn events(size: usize, round: Micros) {
-    let mut net = Net::new(size, Carrier::Connections, round);
+    let mut net = Net::new(size, Transport::Connections, round);
     start_all(&mut net, "start");
     net.run(5 * SECOND);
     net.windows.clear();
@@ -474,7 +474,7 @@
 
 /// Isolates one node in three, a region, from all others for half a minute, and reconnects it.
 fn regions(size: usize, round: Micros) {
-    let mut net = Net::new(size, Carrier::Connections, round);
+    let mut net = Net::new(size, Transport::Connections, round);
     start_all(&mut net, "start");
     net.run(5 * SECOND);
     net.windows.clear();
@@ -489,9 +489,9 @@
 
 fn run_child(mode: &str, size: usize) {
     match mode {
-        "members-200ms" => members(size, Carrier::Connections, SECOND / 5),
-        "members-1s" => members(size, Carrier::Connections, SECOND),
-        "members-notes" => members(size, Carrier::Notes, SECOND),
+        "members-200ms" => members(size, Transport::Connections, SECOND / 5),
+        "members-1s" => members(size, Transport::Connections, SECOND),
+        "members-notes" => members(size, Transport::Notes, SECOND),
         "events" => events(size, SECOND / 5),
         "regions" => regions(size, SECOND / 5),
         _ => panic!("{mode}: members-200ms, members-1s, members-notes, events or regions"),
--- a/crates/lemoncleat-fleet/src/fleet.rs
+++ b/crates/lemoncleat-fleet/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use crate::message::{append, read, Body, Header};
 use crate::plant::{self, Plant};
-use crate::{Carrier, Member, MemberId, Micros, Settings, SettingsError, State, Timing};
+use crate::{Member, MemberId, Micros, Settings, SettingsError, State, Timing, Transport};
 
 mod links;
 mod membership;
@@ -55,14 +55,14 @@
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// A message was received from this member, as identified by the transport.
-    Heard {
+    Received {
         /// The sender.
         from: MemberId,
         /// The message.
         bytes: &'a [u8],
     },
     /// A connection to this member is established, whichever side initiated it. Not used with
-    /// [`Carrier::Notes`].
+    /// [`Transport::Notes`].
     Linked(MemberId),
     /// The connection to this member has ended.
     Unlinked(MemberId),
@@ -93,18 +93,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send this message.
-    Tell {
+    Send {
         /// The receiver.
         to: MemberId,
         /// At most [`Settings::max_message`] bytes.
         bytes: Vec<u8>,
     },
     /// Connect to this member. [`Input::Linked`] reports success; a failure is not reported.
-    Meet(MemberId),
+    Connect(MemberId),
     /// End the connection to this member after all pending messages, if this node initiated it.
     /// [`Input::Unlinked`] reports that it has ended; a connection that the member initiated may stay, and
     /// remains in use.
-    Part(MemberId),
+    Disconnect(MemberId),
     /// A newer fact of another member, or a fact of a member that is back.
     Fact(Fact),
     /// The state in which a member is held has changed.
@@ -133,12 +133,12 @@
     /// A message came from a process that is not a member.
     Stranger(MemberId),
     /// A message of this member names another sender.
-    Impostor(MemberId),
+    ForgedSender(MemberId),
     /// A message of this member can't be decoded.
     Unreadable(MemberId),
     /// The fleet remembers a later start of this node, or another process uses its name; the node goes on
     /// with a higher incarnation.
-    Jumped,
+    IncarnationRaised,
     /// The node was not run for this many microseconds, and does not count the silence of others in that time
     /// as a failure.
     Paused(Micros),
@@ -233,7 +233,7 @@
 pub struct Fleet {
     own: MemberId,
     member: Member,
-    carrier: Carrier,
+    carrier: Transport,
     max_message: usize,
     timing: Timing,
     /// How many connections the node initiates.
@@ -328,7 +328,7 @@
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Vec<Output>) {
         self.adjust_timers(now, out);
         match input {
-            Input::Heard { from, bytes } => self.handle_message(now, from, bytes, out),
+            Input::Received { from, bytes } => self.handle_message(now, from, bytes, out),
             Input::Linked(id) => self.handle_linked(now, id, out),
             Input::Unlinked(id) => self.handle_unlinked(now, id, out),
             Input::Publish { kind, bytes } => self.publish(now, kind, bytes, out),
@@ -455,7 +455,7 @@
         };
         if header.from != from && !plant::active(Plant::AcceptsForgedSender) {
             self.stats.impostors += 1;
-            self.notice(now, Notice::Impostor(from), out);
+            self.notice(now, Notice::ForgedSender(from), out);
             return;
         }
         let from = header.from;
@@ -568,7 +568,7 @@
 
     /// Returns whether a message can be sent to the member now.
     fn can_reach(&self, to: MemberId) -> bool {
-        self.peers.get(&to).is_some_and(|peer| self.carrier == Carrier::Notes || peer.linked)
+        self.peers.get(&to).is_some_and(|peer| self.carrier == Transport::Notes || peer.linked)
     }
 
     /// Sends a message, filled up with as many pending updates as fit.
@@ -586,7 +586,7 @@
         point!(FLEET_SEND);
         self.stats.told += 1;
         self.stats.told_bytes += bytes.len() as u64;
-        out.push(Output::Tell { to, bytes });
+        out.push(Output::Send { to, bytes });
     }
 
     /// Records a message of, or about, a process that is not a member.
@@ -599,9 +599,9 @@
     fn notice(&mut self, now: Micros, notice: Notice, out: &mut Vec<Output>) {
         let sort = match notice {
             Notice::Stranger(_) => 0,
-            Notice::Impostor(_) => 1,
+            Notice::ForgedSender(_) => 1,
             Notice::Unreadable(_) => 2,
-            Notice::Jumped => 3,
+            Notice::IncarnationRaised => 3,
             Notice::Paused(_) => 4,
             Notice::DirectDropped(_) => 5,
             Notice::FactDropped(_) => 6,
--- a/crates/lemoncleat-fleet/src/fleet/links.rs
+++ b/crates/lemoncleat-fleet/src/fleet/links.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, Output};
 use crate::message::Body;
-use crate::{Carrier, MemberId, Micros, State};
+use crate::{MemberId, Micros, State, Transport};
 
 /// After a failed connect, a member is avoided for this many connect timeouts.
 const AVOID_FACTOR: Micros = 4;
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn maintain_links(&mut self, now: Micros, out: &mut Vec<Output>) {
-        if self.carrier == Carrier::Notes {
+        if self.carrier == Transport::Notes {
             return;
         }
         let mut failed = Vec::new();
@@ -79,7 +79,7 @@
                 // may stay.
                 (peer.closing, peer.initiated) = (true, false);
             }
-            out.push(Output::Part(id));
+            out.push(Output::Disconnect(id));
         }
     }
 
@@ -93,12 +93,12 @@
 
     fn connect(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
         let Some(peer) = self.peers.get_mut(&id) else { return };
-        if self.carrier == Carrier::Notes || peer.linked || peer.connect_deadline.is_some() {
+        if self.carrier == Transport::Notes || peer.linked || peer.connect_deadline.is_some() {
             return;
         }
         (peer.connect_deadline, peer.initiated) = (Some(now + self.timing.meet), true);
         self.stats.connects_requested += 1;
-        out.push(Output::Meet(id));
+        out.push(Output::Connect(id));
     }
 
     pub(super) fn handle_linked(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
--- a/crates/lemoncleat-fleet/src/fleet/membership.rs
+++ b/crates/lemoncleat-fleet/src/fleet/membership.rs
@@ -6,7 +6,7 @@
 use super::{links, Fleet, Notice, Output, Peer};
 use crate::message::Body;
 use crate::settings::{by_id, default_links};
-use crate::{Carrier, Member, MemberId, Micros, SettingsError};
+use crate::{Member, MemberId, Micros, SettingsError, Transport};
 
 /// Maximum number of consecutive early comparisons with one member because its states differ, while they
 /// repair nothing and the two nodes may hold different lists of members.
@@ -63,12 +63,12 @@
     /// Forgets a member that was removed from the list. It is told first that the connection ends, so that it
     /// does not take the end for a failure.
     fn forget(&mut self, now: Micros, id: MemberId, out: &mut Vec<Output>) {
-        if self.carrier == Carrier::Connections && self.can_reach(id) {
+        if self.carrier == Transport::Connections && self.can_reach(id) {
             self.send(now, id, Body::Closing, out);
         }
         let peer = self.peers.remove(&id);
         if peer.is_some_and(|peer| peer.linked || peer.connect_deadline.is_some()) {
-            out.push(Output::Part(id));
+            out.push(Output::Disconnect(id));
         }
         self.store.forget(id);
     }
--- a/crates/lemoncleat-fleet/src/fleet/probes.rs
+++ b/crates/lemoncleat-fleet/src/fleet/probes.rs
@@ -7,7 +7,7 @@
 
 use super::{Fleet, Output};
 use crate::message::Body;
-use crate::{Carrier, MemberId, Micros, State};
+use crate::{MemberId, Micros, State, Transport};
 
 /// How many members are asked to probe on behalf of this node.
 const INDIRECT_PROBES: usize = 3;
@@ -59,10 +59,9 @@
 
     /// Returns the members that messages can be sent to and that are not held to be gone.
     fn reachable_members(&self) -> Vec<MemberId> {
-        let peers = self
-            .peers
-            .iter()
-            .filter(|(_, peer)| peer.state != State::Gone && (self.carrier == Carrier::Notes || peer.linked));
+        let peers = self.peers.iter().filter(|(_, peer)| {
+            peer.state != State::Gone && (self.carrier == Transport::Notes || peer.linked)
+        });
         peers.map(|(id, _)| *id).collect()
     }
 
@@ -209,7 +208,7 @@
     fn suspicion_span(&self, accusers: usize) -> Micros {
         let members = self.peers.len() + 1;
         let size = (members as f64).log10().max(1.0);
-        let min_span = (self.timing.suspect as f64 * size) as Micros;
+        let min_span = (self.timing.suspicion_timeout as f64 * size) as Micros;
         let enough = CONFIRMING_ACCUSERS.min(members.saturating_sub(2));
         if accusers >= enough {
             return min_span;
--- a/crates/lemoncleat-fleet/src/fleet/sync.rs
+++ b/crates/lemoncleat-fleet/src/fleet/sync.rs
@@ -97,7 +97,7 @@
         self.store.set_incarnation(self.own, self.incarnation, &mut self.number);
         self.store.set_state(self.own, State::Alive, self.incarnation, self.own);
         self.next_gossip = Some(now);
-        self.notice(now, Notice::Jumped, out);
+        self.notice(now, Notice::IncarnationRaised, out);
     }
 
     /// Applies an update. Returns whether it changed anything.
--- a/crates/lemoncleat-fleet/src/lib.rs
+++ b/crates/lemoncleat-fleet/src/lib.rs
@@ -23,7 +23,7 @@
 pub use message::State;
 #[cfg(feature = "faults")]
 pub use plant::{plant, Plant};
-pub use settings::{Carrier, Member, MemberId, Settings, SettingsError, Timing};
+pub use settings::{Member, MemberId, Settings, SettingsError, Timing, Transport};
 
 /// A duration or a point in time, in microseconds.
 pub type Micros = i64;
--- a/crates/lemoncleat-fleet/src/settings.rs
+++ b/crates/lemoncleat-fleet/src/settings.rs
@@ -42,7 +42,7 @@
 
 /// How messages are transported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carrier {
+pub enum Transport {
     /// Over connections: a member must be linked before messages can be sent to it.
     Connections,
     /// As datagrams: any member can be sent to at any time, and any message may be lost.
@@ -60,7 +60,7 @@
     /// How long a suspicion confirmed by several nodes lasts before the member is held to be gone, for ten
     /// members or fewer. It grows with the logarithm of the number of members, and is three times as long for
     /// a suspicion by a single node.
-    pub suspect: Micros,
+    pub suspicion_timeout: Micros,
     /// Interval between gossip messages while there are updates to send.
     pub gossip: Micros,
     /// Interval between comparisons of state with another member.
@@ -81,7 +81,7 @@
         Timing {
             round: 1_000_000,
             answer: 300_000,
-            suspect: 2_000_000,
+            suspicion_timeout: 2_000_000,
             gossip: 100_000,
             sync: 1_000_000,
             retry: 2_000_000,
@@ -100,7 +100,7 @@
     /// All members, in any order.
     pub members: Vec<Member>,
     /// How messages are transported.
-    pub carrier: Carrier,
+    pub carrier: Transport,
     /// Maximum size of a message in bytes; at least 256.
     pub max_message: usize,
     /// How many connections the node initiates; about as many more are initiated by others.
@@ -112,9 +112,9 @@
 impl Settings {
     /// Returns default settings for a fleet of this size: messages of 256 bytes as notes and 4,096 over
     /// connections; 3 connections, or 4 from 64 members on.
-    pub fn new(own: &str, members: Vec<Member>, carrier: Carrier) -> Settings {
+    pub fn new(own: &str, members: Vec<Member>, carrier: Transport) -> Settings {
         let links = default_links(members.len());
-        let max_message = if carrier == Carrier::Notes { MIN_MESSAGE_BYTES } else { 4_096 };
+        let max_message = if carrier == Transport::Notes { MIN_MESSAGE_BYTES } else { 4_096 };
         Settings { own: own.into(), members, carrier, max_message, links, timing: Timing::default() }
     }
 
@@ -124,7 +124,8 @@
             return Err(SettingsError::MessageLimitTooSmall(self.max_message));
         }
         let timing = &self.timing;
-        let spans = [timing.round, timing.answer, timing.suspect, timing.gossip, timing.sync, timing.retry];
+        let spans =
+            [timing.round, timing.answer, timing.suspicion_timeout, timing.gossip, timing.sync, timing.retry];
         if spans.iter().chain(&[timing.meet, timing.life]).any(|span| *span <= 0) {
             return Err(SettingsError::NonPositiveSpan);
         }
--- a/crates/lemoncleat-fleet/tests/common/mod.rs
+++ b/crates/lemoncleat-fleet/tests/common/mod.rs
@@ -32,7 +32,7 @@
     pub listed: BTreeSet<usize>,
     /// The list that each node has been given.
     given_lists: Vec<BTreeSet<usize>>,
-    pub carrier: Carrier,
+    pub carrier: Transport,
     /// Shares of messages that are lost, duplicated, or delayed by up to two seconds.
     pub lost: f64,
     pub duplicated: f64,
@@ -57,12 +57,12 @@
 }
 
 impl Net {
-    pub fn new(size: usize, carrier: Carrier, seed: u64) -> Net {
+    pub fn new(size: usize, carrier: Transport, seed: u64) -> Net {
         Net::with_spares(size, 0, carrier, seed)
     }
 
     /// Creates a network in which the first nodes start, and the spares are not members yet.
-    pub fn with_spares(first: usize, spares: usize, carrier: Carrier, seed: u64) -> Net {
+    pub fn with_spares(first: usize, spares: usize, carrier: Transport, seed: u64) -> Net {
         let size = first + spares;
         let name = |at: usize| Member { name: format!("n{at}").into(), zone: format!("z{}", at % 3).into() };
         let mut net = Net {
@@ -197,8 +197,8 @@
     fn apply_output(&mut self, at: usize, output: Output) {
         let generation = self.generations[at];
         match &output {
-            Output::Tell { to, bytes } => {
-                let limit = if self.carrier == Carrier::Notes { 256 } else { 4_096 };
+            Output::Send { to, bytes } => {
+                let limit = if self.carrier == Transport::Notes { 256 } else { 4_096 };
                 assert!(bytes.len() <= limit, "invariant violated: a message of {} bytes", bytes.len());
                 let to = self.at(*to);
                 assert!(
@@ -215,7 +215,7 @@
                 }
                 return;
             }
-            Output::Meet(to) => {
+            Output::Connect(to) => {
                 let to = self.at(*to);
                 assert!(
                     self.given_lists[at].contains(&to),
@@ -223,7 +223,7 @@
                 );
                 return self.push(10_000, Event::Link(at, to));
             }
-            Output::Part(to) => {
+            Output::Disconnect(to) => {
                 let to = self.at(*to);
                 // A connection can only be ended by the node that initiated it, as in the real transport.
                 let pair = (at.min(to), at.max(to));
@@ -312,7 +312,7 @@
             Event::Message(from, ..) if self.cut.contains(&(from, at)) => {}
             Event::Message(from, _, bytes) => {
                 let from = self.id(from);
-                self.turn(at, Input::Heard { from, bytes: &bytes });
+                self.turn(at, Input::Received { from, bytes: &bytes });
             }
             Event::Link(_, to) => {
                 let cut = self.cut.contains(&(at, to)) || self.cut.contains(&(to, at));
--- a/crates/lemoncleat-fleet/tests/laws.rs
+++ b/crates/lemoncleat-fleet/tests/laws.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const CARRIERS: [Carrier; 2] = [Carrier::Notes, Carrier::Connections];
+const CARRIERS: [Transport; 2] = [Transport::Notes, Transport::Connections];
 
 fn states(net: &Net, wanted: State) -> usize {
     net.log.iter().filter(|(_, _, it)| matches!(it, Output::State { state, .. } if *state == wanted)).count()
@@ -49,7 +49,7 @@
 }
 
 /// Applies random failures by seed, then ends them all; afterwards all nodes must agree.
-fn run_random_failures(size: usize, carrier: Carrier, seed: u64) {
+fn run_random_failures(size: usize, carrier: Transport, seed: u64) {
     let mut net = Net::new(size, carrier, seed);
     let mut rng = SmallRng::seed_from_u64(seed ^ 77);
     (net.age_slack, net.lost, net.duplicated, net.delayed) = (100 * SECOND, 0.05, 0.1, 0.05);
@@ -173,25 +173,28 @@
 
 #[test]
 fn counts_and_ignores_invalid_messages() {
-    let mut net = Net::new(5, Carrier::Notes, 8);
+    let mut net = Net::new(5, Transport::Notes, 8);
     net.settle(20 * SECOND).expect("all nodes hold each other alive");
     let id = net.id(0);
     let mut outputs = Vec::new();
-    let settings = Settings::new("n0", net.members.clone(), Carrier::Notes);
+    let settings = Settings::new("n0", net.members.clone(), Transport::Notes);
     let mut earlier = Fleet::new(settings, 60, 1).expect("settings");
-    earlier.handle(0, Input::Heard { from: net.id(1), bytes: &[] }, &mut outputs);
+    earlier.handle(0, Input::Received { from: net.id(1), bytes: &[] }, &mut outputs);
     (1..9).for_each(|at| earlier.handle(at * SECOND, Input::Timeout, &mut outputs));
     let messages: Vec<Vec<u8>> = outputs
         .into_iter()
-        .filter_map(|it| if let Output::Tell { bytes, .. } = it { Some(bytes) } else { None })
+        .filter_map(|it| if let Output::Send { bytes, .. } = it { Some(bytes) } else { None })
         .collect();
     let before = net.log.len();
     for message in &messages {
-        net.turn(1, Input::Heard { from: MemberId(1), bytes: message });
-        net.turn(1, Input::Heard { from: net.id(2), bytes: message });
-        net.turn(1, Input::Heard { from: id, bytes: message });
-        net.turn(1, Input::Heard { from: id, bytes: message.get(..message.len() - 1).expect("not empty") });
-        net.turn(1, Input::Heard { from: id, bytes: &[0xff; 300] });
+        net.turn(1, Input::Received { from: MemberId(1), bytes: message });
+        net.turn(1, Input::Received { from: net.id(2), bytes: message });
+        net.turn(1, Input::Received { from: id, bytes: message });
+        net.turn(
+            1,
+            Input::Received { from: id, bytes: message.get(..message.len() - 1).expect("not empty") },
+        );
+        net.turn(1, Input::Received { from: id, bytes: &[0xff; 300] });
     }
     let (stats, count) = (net.nodes[1].as_ref().expect("running").stats(), messages.len() as u64);
     assert!(count > 5);
@@ -230,7 +233,7 @@
         (0..200).for_each(|_| net.turn(0, Input::Direct { to: net.id(3), bytes: vec![0; 100] }));
         net.run(10 * SECOND);
         let dropped = net.nodes[0].as_ref().expect("running").stats().direct_dropped;
-        assert_eq!(dropped, if carrier == Carrier::Notes { 1 } else { 201 });
+        assert_eq!(dropped, if carrier == Transport::Notes { 1 } else { 201 });
         net.run(60 * SECOND);
         assert!(net.max_connections <= 11);
     }
@@ -239,7 +242,7 @@
 #[test]
 fn rejects_invalid_settings() {
     let member = |name: &str| Member { name: name.into(), zone: "z".into() };
-    let twice = Settings::new("a", vec![member("a"), member("a")], Carrier::Notes);
+    let twice = Settings::new("a", vec![member("a"), member("a")], Transport::Notes);
     assert_eq!(
         Fleet::new(twice, 1, 1).err().map(|e| e.to_string()).as_deref(),
         Some("member a is named twice")
@@ -247,16 +250,16 @@
     // Two names with the same 32-bit digest.
     let (first, second) = ("costarring", "liquid");
     assert_eq!(MemberId::of(first), MemberId::of(second));
-    let same = Settings::new(first, vec![member(first), member(second)], Carrier::Notes);
+    let same = Settings::new(first, vec![member(first), member(second)], Transport::Notes);
     assert!(Fleet::new(same, 1, 1).err().is_some_and(|e| e.to_string().contains("have one digest")));
-    assert!(Fleet::new(Settings::new("b", vec![member("a")], Carrier::Notes), 1, 1).is_err());
+    assert!(Fleet::new(Settings::new("b", vec![member("a")], Transport::Notes), 1, 1).is_err());
 }
 
 #[cfg(feature = "faults")]
 #[test]
 fn injected_faults_are_detected() {
     let check_message_limit = || {
-        let mut net = Net::new(30, Carrier::Notes, 3);
+        let mut net = Net::new(30, Transport::Notes, 3);
         net.run(20 * SECOND);
         (0..30).for_each(|at| net.publish(at));
         net.run(5 * SECOND);
--- a/crates/lemoncleat-fleet/tests/membership.rs
+++ b/crates/lemoncleat-fleet/tests/membership.rs
@@ -10,7 +10,7 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-const CARRIERS: [Carrier; 2] = [Carrier::Notes, Carrier::Connections];
+const CARRIERS: [Transport; 2] = [Transport::Notes, Transport::Connections];
 
 /// Returns the members that any node has held to be suspect or gone.
 fn accused(net: &Net) -> BTreeSet<MemberId> {
@@ -53,7 +53,7 @@
         }
         // A note compares about a dozen entries, so repairing what gossip missed takes longer than over
         // connections.
-        let limit = if carrier == Carrier::Notes { 60 * SECOND } else { 5 * SECOND };
+        let limit = if carrier == Transport::Notes { 60 * SECOND } else { 5 * SECOND };
         net.settle(limit).expect("all nodes hold each other alive and have all facts");
         // The new member never held anything of the old one, and the others hold nothing either, so there is
         // nothing to repair.
@@ -89,7 +89,7 @@
         (3..18).for_each(|at| net.update_members(at));
         net.run(30 * SECOND);
         let divided = rates(&mut net);
-        if carrier == Carrier::Connections {
+        if carrier == Transport::Connections {
             // Only the first seconds have early comparisons. (Over notes, the half that does not know the
             // three new members does not answer their messages, so that they accuse it and it refutes.)
             assert!(
@@ -113,7 +113,7 @@
                 node.facts(net.now, common::KIND).filter(|fact| (3..30).any(|at| net.id(at) == fact.origin));
             assert_eq!(facts.count(), 26, "{carrier:?}: facts at {viewer}");
         }
-        if carrier == Carrier::Connections {
+        if carrier == Transport::Connections {
             assert_eq!(accused(&net), BTreeSet::from([net.id(20)]));
         }
         net.update_all_members();
@@ -137,7 +137,7 @@
         net.publish(4);
         net.run(20 * SECOND);
         assert_eq!(net.disagreements(), 0, "{carrier:?}");
-        net.turn(0, Input::Heard { from: net.id(4), bytes: &[0; 10] });
+        net.turn(0, Input::Received { from: net.id(4), bytes: &[0; 10] });
         net.turn(0, Input::Linked(net.id(4)));
         net.turn(0, Input::Unlinked(net.id(4)));
         net.turn(0, Input::Direct { to: net.id(4), bytes: vec![1] });
@@ -162,7 +162,7 @@
 
 #[test]
 fn rejects_an_invalid_list_with_a_notice() {
-    let mut net = Net::new(5, Carrier::Notes, 25);
+    let mut net = Net::new(5, Transport::Notes, 25);
     net.settle(20 * SECOND).expect("all nodes hold each other alive");
     let member = |name: &str| Member { name: name.into(), zone: "z".into() };
     let without = net.members[1..].to_vec();
@@ -192,7 +192,7 @@
 
 #[test]
 fn change_of_zones_sends_no_messages() {
-    let mut net = Net::new(9, Carrier::Connections, 26);
+    let mut net = Net::new(9, Transport::Connections, 26);
     net.settle(20 * SECOND).expect("all nodes hold each other alive");
     let (log, told) = (net.log.len(), net.sent);
     net.members.iter_mut().for_each(|member| member.zone = "elsewhere".into());
@@ -204,7 +204,7 @@
 
 #[test]
 fn drops_pending_work_for_a_removed_member() {
-    let mut net = Net::new(12, Carrier::Connections, 27);
+    let mut net = Net::new(12, Transport::Connections, 27);
     net.settle(20 * SECOND).expect("all nodes hold each other alive");
     // The killed node is suspected and probed, and messages to it wait for a connection.
     net.kill(5);
@@ -228,7 +228,7 @@
 
 /// Members are added, removed, killed, cut off and started at random, and each node is given the list at its
 /// own time; afterwards all nodes must agree.
-fn run_random_changes(carrier: Carrier, seed: u64) {
+fn run_random_changes(carrier: Transport, seed: u64) {
     let mut net = Net::with_spares(7, 5, carrier, seed);
     let mut rng = SmallRng::seed_from_u64(seed ^ 99);
     (net.age_slack, net.lost, net.duplicated, net.delayed) = (100 * SECOND, 0.05, 0.1, 0.05);
--- a/crates/lemoncleat-fleet/tests/points.rs
+++ b/crates/lemoncleat-fleet/tests/points.rs
@@ -9,7 +9,7 @@
 
 /// Runs a small fleet through a start, a node cut off and reconnected, a node killed and restarted, and facts
 /// throughout.
-fn run_with_fault(carrier: Carrier, armed: (&'static Point, u32, Fault)) -> (bool, String) {
+fn run_with_fault(carrier: Transport, armed: (&'static Point, u32, Fault)) -> (bool, String) {
     let (point, skip, fault) = armed;
     scene::begin(Some((point, skip, fault, None)));
     let mut net = Net::new(5, carrier, u64::from(point.number));
@@ -62,7 +62,7 @@
     let mut unreached = Vec::new();
     for point in POINTS.iter().filter(|point| point.package == "fleet") {
         for (fault, carrier) in
-            point.faults.iter().flat_map(|f| [(f, Carrier::Notes), (f, Carrier::Connections)])
+            point.faults.iter().flat_map(|f| [(f, Transport::Notes), (f, Transport::Connections)])
         {
             for skip in 0..3 {
                 let (reached, outcome) = run_with_fault(carrier, (point, skip, *fault));
