--- a/crates/lemoncleat-agreement/benches/agreement.rs
+++ b/crates/lemoncleat-agreement/benches/agreement.rs
@@ -43,7 +43,7 @@
         let mut inputs: Vec<(usize, Input)> = Vec::new();
         let received: Vec<(u64, u64, Vec<u8>)> = messages.drain(..).collect();
         for (from, to, bytes) in &received {
-            inputs.push((*to as usize - 1, Input::Heard { from: *from, bytes }));
+            inputs.push((*to as usize - 1, Input::Received { from: *from, bytes }));
         }
         match leader {
             Some(leader) => {
@@ -74,7 +74,7 @@
             let mut outputs = VecDeque::from(outputs);
             while let Some(output) = outputs.pop_front() {
                 match output {
-                    Output::Tell { to, bytes: message } => {
+                    Output::Send { to, bytes: message } => {
                         bytes += message.len();
                         messages.push_back((core as u64 + 1, to, message));
                     }
--- a/crates/lemoncleat-agreement/src/follower.rs
+++ b/crates/lemoncleat-agreement/src/follower.rs
@@ -37,14 +37,14 @@
 
     /// Polls the voters only before this time, from the next [`Input::Timeout`] on; without this call it
     /// polls for ever. Commands decided in between are learned when it polls again.
-    pub fn learn_until(&mut self, until: Micros) {
+    pub fn poll_until(&mut self, until: Micros) {
         self.until = Some(until);
     }
 
-    /// Handles [`Input::Heard`] and [`Input::Timeout`]; other inputs are ignored.
+    /// Handles [`Input::Received`] and [`Input::Timeout`]; other inputs are ignored.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard { from, bytes } if self.voters.contains(&from) => {
+            Input::Received { from, bytes } if self.voters.contains(&from) => {
                 if let Some(envelope) = Envelope::decode(bytes) {
                     self.handle_payload(now, envelope.payload, out);
                 }
@@ -84,7 +84,7 @@
         self.wake = now.saturating_add(self.timing.tick.saturating_mul(self.timing.heartbeat as Micros));
         let Some(to) = self.voters.get(self.polled).copied() else { return };
         if let Some(bytes) = Envelope::encode(0, Payload::FetchDecided { after: self.learned }) {
-            out.push(Output::Tell { to, bytes });
+            out.push(Output::Send { to, bytes });
         }
     }
 }
--- a/crates/lemoncleat-agreement/src/interface.rs
+++ b/crates/lemoncleat-agreement/src/interface.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// A message was received from a member. The transport guarantees that `from` is correct.
-    Heard {
+    Received {
         /// The sender.
         from: u64,
         /// The message.
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send to a member.
-    Tell {
+    Send {
         /// The receiver.
         to: u64,
         /// The message.
@@ -155,7 +155,7 @@
         again: Micros,
     },
     /// The store can be written again.
-    StoreWorks,
+    StoreRecovered,
     /// All other voters have accepted this store: the voter votes.
     Admitted,
     /// The voter `by` knows this voter with another store, which was lost: this voter only learns.
--- a/crates/lemoncleat-agreement/src/voter.rs
+++ b/crates/lemoncleat-agreement/src/voter.rs
@@ -171,7 +171,7 @@
     /// Handles an input at the given time.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         match input {
-            Input::Heard { from, bytes } => self.handle_message(now, from, bytes),
+            Input::Received { from, bytes } => self.handle_message(now, from, bytes),
             Input::Propose { token, command } => self.propose(token, command, out),
             Input::Stored(number) => self.handle_stored(number, out),
             Input::StoreFailed(number, _) if planted!(IgnoresFailure) => self.handle_stored(number, out),
@@ -333,7 +333,7 @@
 
     fn send(&mut self, to: u64, payload: Payload) {
         if let Some(bytes) = Envelope::encode(self.store, payload) {
-            self.deferred.push(Output::Tell { to, bytes });
+            self.deferred.push(Output::Send { to, bytes });
         }
     }
 
@@ -442,7 +442,7 @@
             self.emit(dependents, out);
         }
         if self.store_retry.take().is_some() {
-            out.push(Output::Notice(Notice::StoreWorks));
+            out.push(Output::Notice(Notice::StoreRecovered));
         }
     }
 
@@ -461,7 +461,7 @@
         self.store_retry = Some(StoreRetry { retry_at, backoff });
         out.push(Output::Notice(Notice::StoreFailed { why, again: backoff }));
         // Decided commands remain valid; messages would be outdated by the time the store works again.
-        let outlives_failure = |output: &Output| !matches!(output, Output::Tell { .. } | Output::Leader(_));
+        let outlives_failure = |output: &Output| !matches!(output, Output::Send { .. } | Output::Leader(_));
         self.deferred.retain(outlives_failure);
         if let Some((_, dependents)) = &mut self.in_flight {
             dependents.retain(outlives_failure);
@@ -589,7 +589,7 @@
     fn emit(&mut self, outputs: Vec<Output>, out: &mut Vec<Output>) {
         for output in outputs {
             match &output {
-                Output::Tell { .. } => point!(AGREE_SEND),
+                Output::Send { .. } => point!(AGREE_SEND),
                 Output::Decided { .. } => {
                     point!(AGREE_DECIDED);
                     self.stats.decided += 1;
--- a/crates/lemoncleat-agreement/tests/laws.rs
+++ b/crates/lemoncleat-agreement/tests/laws.rs
@@ -205,7 +205,7 @@
         net.run(5 * SECOND);
         assert_eq!(net.decided.len(), decided);
         assert!(net.recovers(), "seed {seed}");
-        assert!(net.nodes[leader].notices.contains(&Notice::StoreWorks));
+        assert!(net.nodes[leader].notices.contains(&Notice::StoreRecovered));
         net.assert_no_violation();
     }
 }
@@ -218,7 +218,7 @@
     for _ in 0..20_000 {
         let bytes: Vec<u8> = (0..random.random_range(0..60)).map(|_| random.random_range(0..16)).collect();
         let (node, from) = (random.random_range(0..3), random.random_range(0..6));
-        net.input(node, Input::Heard { from, bytes: &bytes });
+        net.input(node, Input::Received { from, bytes: &bytes });
         if let Some(voter) = &net.nodes[node].voter {
             assert!(voter.stats().term < 100);
         }
--- a/crates/lemoncleat-agreement/tests/net/mod.rs
+++ b/crates/lemoncleat-agreement/tests/net/mod.rs
@@ -261,7 +261,7 @@
         }
         for output in out {
             // Messages and decisions that were returned before the kill were already on their way.
-            if killed && !matches!(output, Output::Tell { .. } | Output::Decided { .. }) {
+            if killed && !matches!(output, Output::Send { .. } | Output::Decided { .. }) {
                 continue;
             }
             if self.nodes[index].generation == generation {
@@ -274,7 +274,7 @@
     fn apply_output(&mut self, index: usize, output: Output) {
         let id = self.voters[index];
         match output {
-            Output::Tell { to, bytes } => {
+            Output::Send { to, bytes } => {
                 if self.nodes[index].storing.is_some() || self.nodes[index].write_failed {
                     self.violate(format!("{id} sends a message before its batch is stored"));
                 }
@@ -452,7 +452,7 @@
         match event {
             Event::Deliver { from, to, bytes } => {
                 if self.follower.as_ref().is_some_and(|(id, ..)| *id == to) {
-                    return self.run_follower(Input::Heard { from, bytes: &bytes });
+                    return self.run_follower(Input::Received { from, bytes: &bytes });
                 }
                 let index = (to as usize).wrapping_sub(1);
                 if index >= self.nodes.len() {
@@ -463,7 +463,7 @@
                     // The message stays in the socket buffer until then.
                     self.schedule(until - self.now, Event::Deliver { from, to, bytes });
                 } else {
-                    self.input(index, Input::Heard { from, bytes: &bytes });
+                    self.input(index, Input::Received { from, bytes: &bytes });
                 }
             }
             Event::Synced { node, generation } if self.nodes[node].generation == generation => {
@@ -495,7 +495,7 @@
         follower.handle(self.now, input, &mut out);
         for output in out {
             match output {
-                Output::Tell { to, bytes } => self.send(id, to, bytes),
+                Output::Send { to, bytes } => self.send(id, to, bytes),
                 Output::Decided { index, command } => {
                     let command = <[u8; 8]>::try_from(command).map(u64::from_le_bytes).unwrap_or(u64::MAX);
                     self.apply_command(&mut state, id, index, command);
--- a/crates/lemoncleat-commons/benches/size.rs
+++ b/crates/lemoncleat-commons/benches/size.rs
@@ -180,7 +180,7 @@
         }
         for output in out {
             match output {
-                Output::Tell { to, bytes } => {
+                Output::Send { to, bytes } => {
                     let to = to as usize - 1;
                     let size = bytes.len() as u64 + self.overhead.0;
                     let own = &mut self.window[at];
@@ -228,7 +228,7 @@
                     own.sent += self.overhead.1;
                     self.contacts[at].insert(from);
                     self.contacts[from].insert(at);
-                    self.step(at, Input::Heard { from: from as u64 + 1, bytes: &bytes });
+                    self.step(at, Input::Received { from: from as u64 + 1, bytes: &bytes });
                 }
             }
         }
--- a/crates/lemoncleat-commons/src/seat.rs
+++ b/crates/lemoncleat-commons/src/seat.rs
@@ -176,7 +176,7 @@
     ) {
         match message {
             PeerMessage::Agreement(bytes) => {
-                self.input(now, Input::Heard { from: voter_number(from), bytes: &bytes }, out);
+                self.input(now, Input::Received { from: voter_number(from), bytes: &bytes }, out);
             }
             PeerMessage::Propose(command) => {
                 if matches!(self.core, Core::Voter(..)) {
@@ -278,14 +278,14 @@
     /// Makes a follower pull the log only after an operator's request, as in a fleet with a configuration.
     pub(crate) fn follow_on_demand(&mut self) {
         if let Core::Follower(follower) = &mut self.core {
-            follower.learn_until(0);
+            follower.poll_until(0);
         }
         self.on_demand = true;
     }
 
     fn follow_log(&mut self, now: Micros) {
         if let (Core::Follower(follower), true) = (&mut self.core, self.on_demand) {
-            follower.learn_until(now + ORDER_TIMEOUT_US);
+            follower.poll_until(now + ORDER_TIMEOUT_US);
         }
     }
 
@@ -337,7 +337,7 @@
 
     fn output(&mut self, output: Output, out: &mut Vec<Action>) -> Option<Input<'static>> {
         match output {
-            Output::Tell { to, bytes } => {
+            Output::Send { to, bytes } => {
                 out.extend(member_of(to).map(|to| Action::Send(to, PeerMessage::Agreement(bytes))));
             }
             Output::Store(batch) => out.push(Action::Store(batch)),
@@ -427,7 +427,7 @@
                 ),
             )
         }
-        Notice::StoreWorks => Action::Log(false, "the agreement's store works again".to_owned()),
+        Notice::StoreRecovered => Action::Log(false, "the agreement's store works again".to_owned()),
         Notice::Admitted => Action::Log(false, "admitted as a voter by all others".to_owned()),
         Notice::StoreLost { by } => {
             let by = member_of(*by).map_or_else(|| by.to_string(), |by| name(names, by));
