--- a/crates/lemoncleat-node/benches/node.rs
+++ b/crates/lemoncleat-node/benches/node.rs
@@ -91,7 +91,7 @@
         let mut found = Vec::new();
         for output in self.out.drain(..) {
             if let Output::Send(to, bytes) = output {
-                self.node.handle(self.now, Input::Wrote(to, bytes.len()), &mut Vec::new());
+                self.node.handle(self.now, Input::Written(to, bytes.len()), &mut Vec::new());
                 if to == conn {
                     found = bytes;
                 }
@@ -124,7 +124,7 @@
             _ => None,
         });
         let Some((conn, bytes)) = attempt else { return false };
-        self.node.handle(self.now, Input::Wrote(conn, bytes.len()), &mut Vec::new());
+        self.node.handle(self.now, Input::Written(conn, bytes.len()), &mut Vec::new());
         let Ok(attempt) = MessageRef::parse(&bytes) else { return false };
         let answer = MessageBuilder::answer(&attempt, 2001)
             .add_str(d::ORIGIN_HOST, "s.bench")
@@ -157,7 +157,7 @@
             })
             .collect();
         for (conn, bytes) in releases {
-            self.node.handle(self.now, Input::Wrote(conn, bytes.len()), &mut Vec::new());
+            self.node.handle(self.now, Input::Written(conn, bytes.len()), &mut Vec::new());
             if conn == self.client {
                 continue;
             }
@@ -192,7 +192,7 @@
                 turn(self, Input::Bytes(self.client, slice));
             }
         }
-        turn(self, Input::CaughtUp);
+        turn(self, Input::BacklogDelivered);
         while self.node.wake().is_some_and(|wake| wake <= self.now) {
             turn(self, Input::Timeout);
         }
--- a/crates/lemoncleat-node/benches/size.rs
+++ b/crates/lemoncleat-node/benches/size.rs
@@ -128,7 +128,7 @@
         let mut found = Vec::new();
         for output in std::mem::take(&mut self.out) {
             if let Output::Send(to, bytes) = output {
-                self.input(Input::Wrote(to, bytes.len()));
+                self.input(Input::Written(to, bytes.len()));
                 if to == conn {
                     found = bytes;
                 }
@@ -157,7 +157,7 @@
             _ => None,
         });
         let (conn, bytes) = attempt.expect("an attempt");
-        self.input(Input::Wrote(conn, bytes.len()));
+        self.input(Input::Written(conn, bytes.len()));
         let attempt = MessageRef::parse(&bytes).unwrap_or_else(|error| panic!("{error}"));
         let answer = MessageBuilder::answer(&attempt, 2001)
             .add_str(d::ORIGIN_HOST, "s.bench")
@@ -184,7 +184,7 @@
         let mut spent = self.timed(Input::Bytes(self.client, &request));
         for output in std::mem::take(&mut self.out) {
             let Output::Send(conn, bytes) = output else { continue };
-            self.input(Input::Wrote(conn, bytes.len()));
+            self.input(Input::Written(conn, bytes.len()));
             if let (true, Ok(request)) = (conn != self.client, MessageRef::parse(&bytes)) {
                 let answer = MessageBuilder::answer(&request, 2001).build();
                 spent += self.timed(Input::Bytes(conn, &answer));
--- a/crates/lemoncleat-node/src/node/gap.rs
+++ b/crates/lemoncleat-node/src/node/gap.rs
@@ -12,7 +12,7 @@
 
 /// Set-ups begun per turn after a gap; few enough that the clock value they use stays current.
 const SET_UPS_PER_TURN: usize = 8;
-/// A driver that does not report [`Input::CaughtUp`] is assumed to have caught up after this time.
+/// A driver that does not report [`Input::BacklogDelivered`] is assumed to have caught up after this time.
 const BACKLOG_TIMEOUT_US: Micros = 1_000_000;
 
 /// A gap whose backlog has not been read completely.
--- a/crates/lemoncleat-node/src/node/members.rs
+++ b/crates/lemoncleat-node/src/node/members.rs
@@ -62,7 +62,7 @@
 }
 
 impl Node {
-    /// Registers the members; they are not dialled until [`Input::Meet`].
+    /// Registers the members; they are not dialled until [`Input::DialMember`].
     pub(super) fn add_members(&mut self) {
         for (place, member) in self.settings.members.clone().into_iter().enumerate() {
             self.members.slots.push(None);
@@ -246,7 +246,7 @@
         }
         if let Some(word) = message.find(d::FLEET_WORD) {
             self.stats.words_heard += 1;
-            self.out.push(Output::Heard(member, word.data.to_vec()));
+            self.out.push(Output::MemberMessage(member, word.data.to_vec()));
         }
     }
 
@@ -282,7 +282,11 @@
         if let Some(Some(member)) = self.members.slots.get_mut(place) {
             if member.linked != linked {
                 member.linked = linked;
-                self.out.push(if linked { Output::Linked(place) } else { Output::Unlinked(place) });
+                self.out.push(if linked {
+                    Output::MemberConnected(place)
+                } else {
+                    Output::MemberDisconnected(place)
+                });
             }
         }
         true
--- a/crates/lemoncleat-node/src/node/mod.rs
+++ b/crates/lemoncleat-node/src/node/mod.rs
@@ -58,7 +58,7 @@
     /// Bytes were received.
     Bytes(ConnId, &'a [u8]),
     /// This many of the bytes passed for a connection have been written.
-    Wrote(ConnId, usize),
+    Written(ConnId, usize),
     /// A connection was closed by the other end or the network.
     Closed(ConnId),
     /// An update of the server list.
@@ -66,19 +66,19 @@
     /// Time has passed; sent at or after [`Node::wake`].
     Timeout,
     /// The event loop had no turn since this time, when it last checked its sockets. Anything delivered until
-    /// [`Input::CaughtUp`] may have arrived at any time since.
+    /// [`Input::BacklogDelivered`] may have arrived at any time since.
     Away(Micros),
     /// Everything that arrived while the loop had no turn has been delivered.
-    CaughtUp,
+    BacklogDelivered,
     /// Dial this member of the fleet, given by its place in the settings, and dial it again after a wait
     /// whenever its connection is lost. An existing connection is left unchanged.
-    Meet(usize),
+    DialMember(usize),
     /// Stop dialling this member. A connection made by this node is closed with a DPR; one made by the member
     /// is for the member to close.
-    Part(usize),
+    StopDiallingMember(usize),
     /// Send a message to a member, of at most [`MAX_WORD_BYTES`] bytes. It is sent at once, or dropped and
     /// counted.
-    Word(usize, &'a [u8]),
+    SendToMember(usize, &'a [u8]),
     /// The complete list of fleet members from now on, in any order. A member that stays keeps its place and
     /// its connection; if its address changed, the connection is closed with a DPR and the new address is
     /// dialled if the member is to be dialled. A new member takes the next place that has never been used.
@@ -109,13 +109,13 @@
     Notice(Notice),
     /// A connection with this member, given by its place in the settings, is established: messages can be
     /// sent to it.
-    Linked(usize),
+    MemberConnected(usize),
     /// Messages no longer reach this member: its connection is lost, is being closed, or left a watchdog
     /// request unanswered.
-    Unlinked(usize),
-    /// A message received from a member. Sent only between [`Output::Linked`] and [`Output::Unlinked`], in
-    /// the order in which the member sent them.
-    Heard(usize, Vec<u8>),
+    MemberDisconnected(usize),
+    /// A message received from a member. Sent only between [`Output::MemberConnected`] and
+    /// [`Output::MemberDisconnected`], in the order in which the member sent them.
+    MemberMessage(usize, Vec<u8>),
     /// The shutdown requested by [`Input::Stop`] is complete.
     Stopped,
 }
@@ -375,7 +375,7 @@
                 self.drive_peer(peer, PeerInput::DialFailed);
             }
             Input::Bytes(conn, bytes) => self.handle_bytes(conn, bytes),
-            Input::Wrote(conn, count) => {
+            Input::Written(conn, count) => {
                 if let Some(conn) = self.conns.get_mut(&conn) {
                     conn.queued = conn.queued.saturating_sub(count);
                 }
@@ -388,10 +388,10 @@
             Input::List(news) => self.update_list(news),
             Input::Timeout => {}
             Input::Away(since) => self.begin_gap(since),
-            Input::CaughtUp => self.backlog_read(),
-            Input::Meet(member) => self.dial_member(member),
-            Input::Part(member) => self.stop_dialling_member(member),
-            Input::Word(member, bytes) => self.send_or_drop_word(member, bytes),
+            Input::BacklogDelivered => self.backlog_read(),
+            Input::DialMember(member) => self.dial_member(member),
+            Input::StopDiallingMember(member) => self.stop_dialling_member(member),
+            Input::SendToMember(member, bytes) => self.send_or_drop_word(member, bytes),
             Input::Members(members) => self.change_members(members),
             Input::Fence(come_back) => self.fence = come_back,
             Input::HoldClients(hold) => self.hold_clients(hold),
--- a/crates/lemoncleat-node/tests/calls.rs
+++ b/crates/lemoncleat-node/tests/calls.rs
@@ -405,7 +405,7 @@
         for server in [blocked, other] {
             for got in harness.take(server) {
                 if server == other {
-                    harness.input(Input::Wrote(other, got.0.len()));
+                    harness.input(Input::Written(other, got.0.len()));
                 }
                 if got.name() == "AAR" {
                     at_blocked += usize::from(server == blocked);
@@ -414,7 +414,7 @@
             }
         }
         for got in harness.take(client) {
-            harness.input(Input::Wrote(client, got.0.len()));
+            harness.input(Input::Written(client, got.0.len()));
             stood += usize::from(got.name() == "AAA" && got.result() == code::SUCCESS);
         }
         harness.advance(20 * MS);
--- a/crates/lemoncleat-node/tests/common/mod.rs
+++ b/crates/lemoncleat-node/tests/common/mod.rs
@@ -130,15 +130,15 @@
                 }
                 Output::Close(conn) => self.closed.push(conn),
                 Output::Notice(notice) => self.notices.push(notice),
-                Output::Linked(member) => self.links.push((member, true)),
-                Output::Unlinked(member) => self.links.push((member, false)),
-                Output::Heard(member, word) => self.heard.push((member, word)),
+                Output::MemberConnected(member) => self.links.push((member, true)),
+                Output::MemberDisconnected(member) => self.links.push((member, false)),
+                Output::MemberMessage(member, word) => self.heard.push((member, word)),
                 Output::Stopped => self.stopped = true,
             }
         }
         if self.report_written {
             for (conn, count) in written {
-                self.input(Input::Wrote(conn, count));
+                self.input(Input::Written(conn, count));
             }
         }
     }
@@ -167,7 +167,7 @@
 
     /// Reports the end of the backlog and gives the node the turns that it asks for at once.
     pub fn end_gap(&mut self) {
-        self.input(Input::CaughtUp);
+        self.input(Input::BacklogDelivered);
         while self.node.wake().is_some_and(|wake| wake <= self.now) {
             self.now += MS;
             self.input(Input::Timeout);
--- a/crates/lemoncleat-node/tests/gaps.rs
+++ b/crates/lemoncleat-node/tests/gaps.rs
@@ -417,7 +417,7 @@
         harness.bytes(client, &aar_with_patience(&format!("s;{number}"), number + 1, 900 + number));
     }
     assert!(without_watchdogs(harness.take(server)).is_empty());
-    harness.input(Input::CaughtUp);
+    harness.input(Input::BacklogDelivered);
     let mut answered = 0;
     while harness.now < began + 6 * SECOND {
         for got in without_watchdogs(harness.take(client)) {
--- a/crates/lemoncleat-node/tests/members.rs
+++ b/crates/lemoncleat-node/tests/members.rs
@@ -49,7 +49,7 @@
     harness.bytes(conn, &fwr(OTHER, 7, b"hello"));
     assert_eq!(harness.heard, [(1, b"hello".to_vec())]);
     assert_eq!(harness.expect_one(conn, "FWA").result(), code::SUCCESS);
-    harness.input(Input::Word(1, b"and back"));
+    harness.input(Input::SendToMember(1, b"and back"));
     let got = harness.expect_one(conn, "FWR");
     assert_eq!(got.message().find(d::FLEET_WORD).map(|word| word.data), Some(&b"and back"[..]));
     harness.answer(conn, &got, code::SUCCESS);
@@ -100,18 +100,18 @@
 #[test]
 fn drops_and_counts_words_beyond_the_limits() {
     let (mut harness, conn) = linked();
-    harness.input(Input::Word(1, &vec![0; MAX_WORD_BYTES + 1]));
+    harness.input(Input::SendToMember(1, &vec![0; MAX_WORD_BYTES + 1]));
     assert!(harness.notices.contains(&Notice::WordTooLong(OTHER.into(), MAX_WORD_BYTES + 1)));
     for unknown in [0, 2, usize::MAX] {
-        harness.input(Input::Word(unknown, b"x"));
-        harness.input(Input::Meet(unknown));
-        harness.input(Input::Part(unknown));
+        harness.input(Input::SendToMember(unknown, b"x"));
+        harness.input(Input::DialMember(unknown));
+        harness.input(Input::StopDiallingMember(unknown));
     }
     assert_eq!(harness.node.stats().words_dropped, 4);
     // The member reads nothing: the bytes queued for it stay below the limit.
     harness.report_written = false;
     for _ in 0..100 {
-        harness.input(Input::Word(1, &[0; MAX_WORD_BYTES]));
+        harness.input(Input::SendToMember(1, &[0; MAX_WORD_BYTES]));
     }
     let stats = harness.node.stats();
     assert_eq!((stats.words_sent, stats.words_sent + stats.words_dropped), (31, 104));
@@ -120,13 +120,13 @@
     let (mut harness, conn2) = linked();
     assert_eq!(conn, conn2);
     for _ in 0..2_000 {
-        harness.input(Input::Word(1, b"x"));
+        harness.input(Input::SendToMember(1, b"x"));
     }
     assert_eq!(harness.node.stats().words_sent, 1_024);
     for word in harness.take(conn2) {
         harness.answer(conn2, &word, code::SUCCESS);
     }
-    harness.input(Input::Word(1, b"x"));
+    harness.input(Input::SendToMember(1, b"x"));
     assert_eq!(harness.node.stats().words_sent, 1_025);
 }
 
@@ -160,7 +160,7 @@
     // 2.67 s.
     harness.advance(2_700 * MS);
     assert_eq!(harness.links, [(1, true), (1, false)]);
-    harness.input(Input::Word(1, b"x"));
+    harness.input(Input::SendToMember(1, b"x"));
     assert_eq!(harness.node.stats().words_dropped, 1);
     harness.bytes(conn, &fwr(OTHER, 1, b"here"));
     assert_eq!(harness.links, [(1, true), (1, false), (1, true)]);
@@ -192,14 +192,14 @@
 #[test]
 fn closes_only_its_own_connection_when_told_to_stop_dialling() {
     let mut harness = Harness::new(with_members());
-    harness.input(Input::Meet(1));
+    harness.input(Input::DialMember(1));
     let (peer, to) = harness.dials.remove(0);
     assert_eq!(to.port(), 2);
     let conn = harness.new_conn();
     harness.input(Input::Dialled(peer, conn));
     let cer = harness.expect_one(conn, "CER");
     harness.bytes(conn, &capabilities(MessageBuilder::answer(&cer.message(), 2001), OTHER, 1));
-    harness.input(Input::Part(1));
+    harness.input(Input::StopDiallingMember(1));
     assert_eq!(harness.links, [(1, true), (1, false)]);
     let dpr = harness.expect_one(conn, "DPR");
     assert_eq!(dpr.message().number(d::DISCONNECT_CAUSE), Some(2));
@@ -208,15 +208,15 @@
     assert!(harness.closed.contains(&conn) && harness.dials.is_empty());
     // A connection made by the member is for the member to close.
     let member_conn = harness.connect_client(OTHER);
-    harness.input(Input::Part(1));
+    harness.input(Input::StopDiallingMember(1));
     assert!(harness.take(member_conn).is_empty());
     assert_eq!(harness.links.last(), Some(&(1, true)));
     // Stopping also ends a dial in progress; a wanted member is dialled until the dial succeeds.
     harness.input(Input::Closed(member_conn));
-    harness.input(Input::Meet(1));
-    harness.input(Input::Part(1));
+    harness.input(Input::DialMember(1));
+    harness.input(Input::StopDiallingMember(1));
     assert!(harness.dials.is_empty(), "the dial is stopped");
-    harness.input(Input::Meet(1));
+    harness.input(Input::DialMember(1));
     for _ in 0..20 {
         let (peer, _) = harness.dials.remove(0);
         harness.input(Input::DialFailed(peer));
@@ -276,8 +276,8 @@
     assert_eq!(dpr.message().number(d::DISCONNECT_CAUSE), Some(2));
     // Messages from the removed member are ignored, and messages to it are dropped.
     harness.bytes(removed, &fwr(OTHER, 1, b"still here"));
-    harness.input(Input::Word(1, b"x"));
-    harness.input(Input::Meet(1));
+    harness.input(Input::SendToMember(1, b"x"));
+    harness.input(Input::DialMember(1));
     assert!(harness.heard.is_empty() && harness.dials.is_empty() && harness.take(removed).is_empty());
     assert_eq!((harness.node.stats().words_dropped, harness.node.stats().words_sent), (1, 0));
     harness.answer(removed, &dpr, code::SUCCESS);
@@ -289,11 +289,11 @@
     harness.bytes(reconnected, &cer);
     assert_eq!(harness.expect_one(reconnected, "CEA").result(), code::UNKNOWN_PEER);
     // The new member has the next place; the same list again changes nothing.
-    harness.input(Input::Meet(3));
+    harness.input(Input::DialMember(3));
     assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [4]);
     harness.input(Input::Members(list.clone()));
     assert_eq!((harness.dials.len(), harness.links.len()), (1, 3));
-    harness.input(Input::Word(2, b"as before"));
+    harness.input(Input::SendToMember(2, b"as before"));
     assert_eq!(harness.names(kept), ["FWR"]);
     // Listed again, it gets a new place.
     harness.input(Input::Members([list, vec![member(OTHER, 2)]].concat()));
@@ -306,7 +306,7 @@
 fn stops_dialling_a_removed_member() {
     for dialled in [false, true] {
         let mut harness = Harness::new(with_members());
-        harness.input(Input::Meet(1));
+        harness.input(Input::DialMember(1));
         let (peer, _) = harness.dials[0];
         if dialled {
             harness.dials.clear();
@@ -323,7 +323,7 @@
 fn redials_a_wanted_member_when_its_address_changes() {
     let moved = || vec![member("node.example", 1), member(OTHER, 9)];
     let mut harness = Harness::new(with_members());
-    harness.input(Input::Meet(1));
+    harness.input(Input::DialMember(1));
     let (peer, _) = harness.dials.remove(0);
     let conn = harness.new_conn();
     harness.input(Input::Dialled(peer, conn));
@@ -375,7 +375,7 @@
     );
     // They keep the places that their position gives them.
     for place in 1..6 {
-        harness.input(Input::Meet(place));
+        harness.input(Input::DialMember(place));
     }
     assert_eq!(harness.dials.iter().map(|(_, to)| to.port()).collect::<Vec<_>>(), [2, 8]);
     // Calls continue: the client and the server are unchanged.
@@ -395,7 +395,7 @@
         harness.input(Input::Members(with_members().members));
     }
     assert_eq!(refusals(&harness, OTHER), 2, "the last two find no place");
-    harness.input(Input::Meet(16 * 1024));
+    harness.input(Input::DialMember(16 * 1024));
     assert!(harness.dials.is_empty());
 }
 
@@ -406,7 +406,7 @@
     let client = harness.connect_client("front.example");
     let mut ends = vec![client, harness.connect_server("a.example"), harness.connect_server("b.example")];
     let link = member.then(|| {
-        harness.input(Input::Meet(1));
+        harness.input(Input::DialMember(1));
         let conn = harness.new_conn();
         harness.input(Input::Accepted(conn));
         let cer = capabilities(MessageBuilder::request(d::CMD_CAPABILITIES, 0, false, 1, 1), OTHER, 1);
@@ -552,7 +552,7 @@
                     if !self.cut[node] {
                         self.schedule(1 - node, other_end(conn), Step::Bytes(other_end(conn), bytes));
                     }
-                    self.input(node, Input::Wrote(conn, count));
+                    self.input(node, Input::Written(conn, count));
                 }
                 Output::Close(conn) => {
                     self.open.remove(&conn);
@@ -560,10 +560,12 @@
                         self.schedule(1 - node, other_end(conn), Step::Closed(other_end(conn)));
                     }
                 }
-                Output::Linked(place) | Output::Unlinked(place) if place == node => panic!("its own link"),
-                Output::Linked(_) => assert!(!std::mem::replace(&mut self.linked[node], true)),
-                Output::Unlinked(_) => assert!(std::mem::replace(&mut self.linked[node], false)),
-                Output::Heard(_, word) => {
+                Output::MemberConnected(place) | Output::MemberDisconnected(place) if place == node => {
+                    panic!("its own link")
+                }
+                Output::MemberConnected(_) => assert!(!std::mem::replace(&mut self.linked[node], true)),
+                Output::MemberDisconnected(_) => assert!(std::mem::replace(&mut self.linked[node], false)),
+                Output::MemberMessage(_, word) => {
                     assert!(self.linked[node], "message received while unlinked");
                     self.heard[node].push(word);
                 }
@@ -619,7 +621,7 @@
     fn exchange_words(&mut self, count: u8) {
         for word in 0..count {
             for node in 0..2 {
-                self.input(node, Input::Word(1 - node, &[word]));
+                self.input(node, Input::SendToMember(1 - node, &[word]));
             }
         }
         self.advance(SECOND);
@@ -634,10 +636,10 @@
     let mut most = 0;
     for seed in 0..500 {
         let mut net = Net::new(seed);
-        net.input(0, Input::Meet(1));
+        net.input(0, Input::DialMember(1));
         let apart = net.rng.random_range(0..60 * MS);
         net.advance(apart);
-        net.input(1, Input::Meet(0));
+        net.input(1, Input::DialMember(0));
         net.advance(5 * SECOND);
         assert_eq!((net.linked, net.open.len()), ([true; 2], 2), "seed {seed}");
         net.exchange_words(50);
@@ -650,14 +652,14 @@
 fn reports_a_cut_link_at_both_ends_and_recovers() {
     for seed in 0..60 {
         let mut net = Net::new(seed);
-        net.input(0, Input::Meet(1));
-        net.input(1, Input::Meet(0));
+        net.input(0, Input::DialMember(1));
+        net.input(1, Input::DialMember(0));
         net.advance(5 * SECOND);
         net.cut = [seed % 3 != 0, seed % 3 != 1];
         net.advance(12 * SECOND);
         assert_eq!(net.linked, [false; 2], "seed {seed}: Tw is 1 s");
         for node in 0..2 {
-            net.input(node, Input::Word(1 - node, b"lost"));
+            net.input(node, Input::SendToMember(1 - node, b"lost"));
         }
         net.cut = [false; 2];
         net.advance(60 * SECOND);
@@ -671,15 +673,15 @@
     for seed in 0..40 {
         let mut net = Net::new(seed);
         net.pieces = 1 + seed as usize % 3;
-        net.input(0, Input::Meet(1));
+        net.input(0, Input::DialMember(1));
         let apart = net.rng.random_range(0..60 * MS);
         net.advance(apart);
-        net.input(1, Input::Meet(0));
+        net.input(1, Input::DialMember(0));
         net.advance(5 * SECOND);
         net.exchange_words(20);
         net.advance(10 * SECOND);
-        net.input(0, Input::Part(1));
-        net.input(1, Input::Part(0));
+        net.input(0, Input::StopDiallingMember(1));
+        net.input(1, Input::StopDiallingMember(0));
         net.advance(10 * SECOND);
         assert!(net.open.is_empty(), "seed {seed}");
         for node in 0..2 {
--- a/crates/lemoncleat-service/src/service.rs
+++ b/crates/lemoncleat-service/src/service.rs
@@ -453,13 +453,13 @@
                 Output::Close(conn) => self.net.close(conn.0),
                 Output::Notice(notice) => log::emit(&self.host, &notice),
                 Output::Stopped => self.stopped = Some(self.clock()),
-                Output::Linked(member) => {
+                Output::MemberConnected(member) => {
                     self.with_fleet(|part, now, actions| part.linked(now, member, true, actions))
                 }
-                Output::Unlinked(member) => {
+                Output::MemberDisconnected(member) => {
                     self.with_fleet(|part, now, actions| part.linked(now, member, false, actions))
                 }
-                Output::Heard(member, bytes) => {
+                Output::MemberMessage(member, bytes) => {
                     self.with_fleet(|part, now, actions| part.heard(now, member, &bytes, actions));
                 }
             }
@@ -480,9 +480,9 @@
 
     fn perform_fleet_action(&mut self, now: Micros, action: Said) {
         match action {
-            Said::Connect(member) => self.handle(Input::Meet(member)),
-            Said::Disconnect(member) => self.handle(Input::Part(member)),
-            Said::Send(member, bytes) => self.handle(Input::Word(member, &bytes)),
+            Said::Connect(member) => self.handle(Input::DialMember(member)),
+            Said::Disconnect(member) => self.handle(Input::StopDiallingMember(member)),
+            Said::Send(member, bytes) => self.handle(Input::SendToMember(member, &bytes)),
             Said::Answer(conn, answer) if self.operators.contains_key(&conn) => {
                 self.net.send(conn, format!("{answer}\n").as_bytes());
             }
@@ -702,14 +702,14 @@
             // After a further gap during the reading, the input of that gap must be read too.
             self.update_clock();
         }
-        self.handle(Input::CaughtUp);
+        self.handle(Input::BacklogDelivered);
     }
 
     /// Writes all output and reports to the core how many bytes were written.
     fn write(&mut self) {
         self.perform();
         for (conn, count) in self.net.flush() {
-            self.handle(Input::Wrote(ConnId(conn), count));
+            self.handle(Input::Written(ConnId(conn), count));
             self.perform();
         }
         for conn in std::mem::take(&mut self.closing) {
--- a/crates/lemoncleat-simulate/benches/hop.rs
+++ b/crates/lemoncleat-simulate/benches/hop.rs
@@ -97,7 +97,7 @@
         let mut sent = Vec::new();
         for output in std::mem::take(&mut self.out) {
             if let Output::Send(to, bytes) = output {
-                self.node.handle(now, Input::Wrote(to, bytes.len()), &mut Vec::new());
+                self.node.handle(now, Input::Written(to, bytes.len()), &mut Vec::new());
                 sent.push((to, bytes));
             }
         }
--- a/crates/lemoncleat-simulate/src/node.rs
+++ b/crates/lemoncleat-simulate/src/node.rs
@@ -147,7 +147,7 @@
         for event in shuffle_connections(std::mem::take(&mut self.inbox), rng) {
             self.handle(now, event);
         }
-        let last = if beyond_gap { Input::CaughtUp } else { Input::Timeout };
+        let last = if beyond_gap { Input::BacklogDelivered } else { Input::Timeout };
         self.core.handle(now, last, &mut self.out);
     }
 
--- a/crates/lemoncleat-simulate/src/simulation.rs
+++ b/crates/lemoncleat-simulate/src/simulation.rs
@@ -548,7 +548,7 @@
             Output::Send(conn, bytes) => {
                 self.record_frames(conn.0, false, &bytes);
                 self.send(conn.0, LAB_END, &bytes);
-                let wrote = lemoncleat_node::Input::Wrote(conn, bytes.len());
+                let wrote = lemoncleat_node::Input::Written(conn, bytes.len());
                 let now = self.now;
                 let node = &mut self.nodes[node];
                 node.core.handle(now, wrote, &mut node.out);
@@ -558,7 +558,7 @@
                 self.close(conn.0, NODE_END, false);
             }
             // The scenario has no fleet of nodes.
-            Output::Linked(_) | Output::Unlinked(_) | Output::Heard(..) => {}
+            Output::MemberConnected(_) | Output::MemberDisconnected(_) | Output::MemberMessage(..) => {}
             Output::Notice(_) | Output::Stopped => {}
         }
     }
