--- a/crates/lemoncleat-access/src/callers.rs
+++ b/crates/lemoncleat-access/src/callers.rs
@@ -324,7 +324,7 @@
     fn close_if_nothing_unread(&mut self, conn: ConnId, why: &'static str) {
         if let Some(caller) = self.callers.conns.remove(&conn) {
             self.callers.closing.insert(conn, (caller, why));
-            self.out.push(Output::CloseIfQuiet(conn));
+            self.out.push(Output::CloseIfNothingUnread(conn));
         }
     }
 
--- a/crates/lemoncleat-access/src/calls.rs
+++ b/crates/lemoncleat-access/src/calls.rs
@@ -375,7 +375,7 @@
         self.servers.set_up_closed(attempt.path, id);
         if let AttemptPath::Conn(conn) = attempt.path {
             // Whatever the outcome: an INVITE still queued for a server that does not read must not be sent.
-            self.out.push(Output::Withdraw(conn, id, Vec::new()));
+            self.out.push(Output::WithdrawInvite(conn, id, Vec::new()));
         }
         Some(attempt)
     }
@@ -422,7 +422,7 @@
                 dialog_request(Method::Cancel, &self.name, &call.id, &call.called, attempt.number + 1)
                     .finish(b"");
             let (call_id, called) = (call.id.clone(), call.called.clone());
-            self.out.push(Output::Withdraw(conn, id, bytes));
+            self.out.push(Output::WithdrawInvite(conn, id, bytes));
             let now = self.now;
             self.releases.abandon(now, id, attempt.server);
             if self.servers.suspect_if_silent(conn, attempt.sent_at, now) {
--- a/crates/lemoncleat-access/src/fleet.rs
+++ b/crates/lemoncleat-access/src/fleet.rs
@@ -175,7 +175,7 @@
                     (address, rest.filter(|rest| rest.len() < MAX_MESSAGE_BYTES))
                 {
                     let message = [&[FLEET_TAG], rest].concat();
-                    self.out.push(interface::Output::Tell(address, message));
+                    self.out.push(interface::Output::SendDatagram(address, message));
                 }
             }
             Output::State { member, state, .. } => {
--- a/crates/lemoncleat-access/src/interface.rs
+++ b/crates/lemoncleat-access/src/interface.rs
@@ -20,9 +20,9 @@
 pub enum Input<'a> {
     /// A caller connected.
     Accepted(ConnId),
-    /// The answer to [`Output::CloseIfQuiet`]: the connection has unread bytes and was not closed. It stays
-    /// as it was, including the part of a message already read from it.
-    NotQuiet(ConnId),
+    /// The answer to [`Output::CloseIfNothingUnread`]: the connection has unread bytes and was not closed.
+    /// It stays as it was, including the part of a message already read from it.
+    CloseDeclined(ConnId),
     /// A dial succeeded.
     Dialled(DialId, ConnId),
     /// A dial failed.
@@ -34,11 +34,11 @@
     },
     /// A dial failed for a local reason, such as a lack of file descriptors; it says nothing about the other
     /// side.
-    NotDialled(DialId),
+    DialNotStarted(DialId),
     /// Bytes were received.
     Bytes(ConnId, &'a [u8]),
     /// Bytes were received that may have waited this long in the socket while the event loop was busy.
-    Waited(ConnId, &'a [u8], Micros),
+    DelayedBytes(ConnId, &'a [u8], Micros),
     /// The other side has ended its half of the connection: a FIN or a reset was seen. Bytes that it sent
     /// before may still follow, and [`Input::Closed`] follows at the end.
     ///
@@ -51,7 +51,7 @@
     /// Has no effect on connections to call servers and the journal service until they are closed: answers
     /// and releases that were sent before the end are still to be read, and an attempt that ends then has not
     /// been shown to have ended earlier.
-    Leaving(ConnId),
+    PeerHalfClosed(ConnId),
     /// The other side closed the connection, or it broke, and everything received on it was passed on.
     ///
     /// A caller's open set-ups are given up. A call that was answered on this connection within the last half
@@ -63,7 +63,7 @@
     /// The time returned by [`AccessNode::wake`](crate::AccessNode::wake) may have been reached.
     Timeout,
     /// The configuration was reloaded: the journal service is now at this address.
-    JournalAt(SocketAddr),
+    JournalMoved(SocketAddr),
     /// The node is to shut down in an orderly way.
     Terminate,
 }
@@ -82,17 +82,17 @@
     /// The attempt of a call on a connection has ended. If no byte of its INVITE has been sent yet, the
     /// INVITE must be discarded. Otherwise these bytes, the CANCEL, are to be written; they are empty if no
     /// CANCEL is needed.
-    Withdraw(ConnId, CallId, Vec<u8>),
+    WithdrawInvite(ConnId, CallId, Vec<u8>),
     /// Close the connection once all pending bytes are written.
     Close(ConnId),
     /// Close the connection at once, unless it has unread bytes. In that case the driver must report
-    /// [`Input::NotQuiet`] before the next [`Input::Timeout`], at which the connection counts as closed.
-    CloseIfQuiet(ConnId),
+    /// [`Input::CloseDeclined`] before the next [`Input::Timeout`], at which the connection counts as closed.
+    CloseIfNothingUnread(ConnId),
     /// Close gracefully, so that the other side can read what was written although it goes on sending: write,
     /// shut down the sending half, then read and discard for a limited time.
     HangUp(ConnId),
     /// Send a datagram to this address.
-    Tell(SocketAddr, Vec<u8>),
+    SendDatagram(SocketAddr, Vec<u8>),
     /// Write a log message.
     Notice(Notice),
     /// The shutdown after [`Input::Terminate`] is complete. Repeated at every maintenance run while this
--- a/crates/lemoncleat-access/src/node.rs
+++ b/crates/lemoncleat-access/src/node.rs
@@ -157,7 +157,7 @@
         self.received_at = self.now;
         match input {
             Input::Accepted(conn) => self.caller_accepted(conn),
-            Input::NotQuiet(conn) => self.keep_unread_caller(conn),
+            Input::CloseDeclined(conn) => self.keep_unread_caller(conn),
             Input::Dialled(dial, conn) => {
                 if self.journal.is_dial(dial) {
                     self.journal_dialled(conn);
@@ -172,7 +172,7 @@
                     self.server_dial_failed(dial, refused);
                 }
             }
-            Input::NotDialled(dial) => {
+            Input::DialNotStarted(dial) => {
                 if self.journal.is_dial(dial) {
                     self.journal_down("the dial could not be started");
                 } else {
@@ -180,11 +180,11 @@
                 }
             }
             Input::Bytes(conn, bytes) => self.bytes_received(conn, bytes),
-            Input::Waited(conn, bytes, waited) => {
+            Input::DelayedBytes(conn, bytes, waited) => {
                 self.received_at = self.now - waited.max(0);
                 self.bytes_received(conn, bytes);
             }
-            Input::Leaving(conn) => self.caller_half_closed(conn),
+            Input::PeerHalfClosed(conn) => self.caller_half_closed(conn),
             Input::Closed(conn) => match self.owner_of(conn) {
                 Some(ConnOwner::Caller) => self.caller_closed(conn),
                 Some(ConnOwner::Server) => self.server_closed(conn),
@@ -196,7 +196,7 @@
                 self.complete_caller_closes();
                 self.fire_timers();
             }
-            Input::JournalAt(address) => self.move_journal(address),
+            Input::JournalMoved(address) => self.move_journal(address),
             Input::Terminate => self.terminate(),
         }
         self.dispatch_events();
--- a/crates/lemoncleat-access/src/peer_messages.rs
+++ b/crates/lemoncleat-access/src/peer_messages.rs
@@ -63,7 +63,7 @@
         };
         let fits = bytes.len() <= MAX_MESSAGE_BYTES && bytes.first() != Some(&FLEET_TAG);
         if let (Some(address), true) = (address, self.peer_messages.allowed && fits) {
-            self.out.push(Output::Tell(address, bytes));
+            self.out.push(Output::SendDatagram(address, bytes));
         }
     }
 }
--- a/crates/lemoncleat-access/tests/callers.rs
+++ b/crates/lemoncleat-access/tests/callers.rs
@@ -238,7 +238,7 @@
     harness.advance(5 * SECOND);
     let (caller, started_at) = (harness.connect_caller(), harness.now);
     let modified_set_up = invite_for(ID, "dear", LEGS, "1500");
-    harness.input(Input::Waited(caller, &modified_set_up, 600 * MS));
+    harness.input(Input::DelayedBytes(caller, &modified_set_up, 600 * MS));
     assert_eq!(harness.invites().len(), 1, "there is time for an attempt");
     while harness.answers.is_empty() && harness.now < started_at + 2 * SECOND {
         harness.advance(5 * MS);
@@ -250,7 +250,7 @@
     );
     // A set-up past its deadline is answered at once, and no server is contacted.
     let late = invite_for("00000000000000d1", "dear", LEGS, "1500");
-    harness.input(Input::Waited(caller, &late, 1_600 * MS));
+    harness.input(Input::DelayedBytes(caller, &late, 1_600 * MS));
     harness.input(Input::Timeout);
     assert!(harness.invites().is_empty());
     assert_eq!(harness.answers["00000000000000d1"].len(), 1);
--- a/crates/lemoncleat-access/tests/common/mod.rs
+++ b/crates/lemoncleat-access/tests/common/mod.rs
@@ -141,7 +141,7 @@
                         self.queued_invites.insert((conn, call.0), bytes);
                     }
                 }
-                Output::Withdraw(conn, call, otherwise) => {
+                Output::WithdrawInvite(conn, call, otherwise) => {
                     let waits = self.queued_invites.remove(&(conn, call.0));
                     if let Some(invite) = waits.filter(|_| self.stalled.contains(&conn)) {
                         let all = self.written.entry(conn).or_default();
@@ -153,14 +153,14 @@
                         self.written.entry(conn).or_default().extend(otherwise);
                     }
                 }
-                Output::CloseIfQuiet(conn) if self.unread.contains(&conn) => {
-                    self.input(Input::NotQuiet(conn))
+                Output::CloseIfNothingUnread(conn) if self.unread.contains(&conn) => {
+                    self.input(Input::CloseDeclined(conn))
                 }
-                Output::Close(conn) | Output::HangUp(conn) | Output::CloseIfQuiet(conn) => {
+                Output::Close(conn) | Output::HangUp(conn) | Output::CloseIfNothingUnread(conn) => {
                     self.closed.insert(conn);
                     self.conns.retain(|(_, held)| *held != conn);
                 }
-                Output::Tell(to, bytes) => self.datagrams.push((to, bytes)),
+                Output::SendDatagram(to, bytes) => self.datagrams.push((to, bytes)),
                 Output::Notice(notice) => self.notices.push(notice),
                 Output::Stopped => self.stopped = true,
             }
@@ -197,7 +197,7 @@
     /// Fails every pending dial for a local reason.
     pub fn fail_dials_locally(&mut self) {
         for (dial, _) in std::mem::take(&mut self.dials) {
-            self.input(Input::NotDialled(dial));
+            self.input(Input::DialNotStarted(dial));
         }
     }
 
--- a/crates/lemoncleat-access/tests/endings.rs
+++ b/crates/lemoncleat-access/tests/endings.rs
@@ -17,10 +17,10 @@
     let caller = harness.connect_caller();
     harness.bytes(caller, &invite(ID, "voice", LEGS));
     let (_, conn, _) = harness.single_invite();
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     assert_eq!(methods(&harness.read(conn)), [Method::Cancel]);
     assert_eq!(codes(&harness.read(caller)), [480]);
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     harness.close(caller);
     harness.advance(2 * SECOND);
     assert!(harness.invites().is_empty());
@@ -37,7 +37,7 @@
     harness.read(held);
     let set_up = invite(ID, "voice", LEGS);
     harness.bytes(caller, &set_up[..40]);
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     harness.bytes(caller, &set_up[40..]);
     assert_eq!(codes(&harness.read(caller)), [480]);
     // Other messages that it sent before are processed.
@@ -59,7 +59,7 @@
     // The release time of 0.3 s has to pass first.
     harness.bytes(conn, &refusal(&forwarded, 504, ""));
     assert!(harness.invites().is_empty());
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     harness.advance(2 * SECOND);
     assert!(harness.invites().is_empty());
     assert_eq!(harness.answers[ID], [480]);
@@ -71,7 +71,7 @@
     let (caller, verified) = (harness.connect_caller(), harness.connect_caller());
     harness.standing_call(verified, NEXT);
     let (_, conn) = harness.standing_call(caller, ID);
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     harness.bytes(conn, &bye(ID, 16));
     assert_eq!((methods(&harness.read(verified)), harness.read(caller).len()), (vec![Method::Bye], 0));
     // Without another connection the release waits for the next one, even if the half-closed one still sends
@@ -79,7 +79,7 @@
     let mut harness = Harness::new();
     let caller = harness.connect_caller();
     let (_, conn) = harness.standing_call(caller, ID);
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     harness.bytes(conn, &bye(ID, 16));
     harness.bytes(caller, &request_about(Method::Options, NEXT));
     assert!(methods(&harness.read(caller)).is_empty());
@@ -98,7 +98,7 @@
     harness.bytes(conn, &bye(ID, 16));
     let released = harness.read(caller);
     assert_eq!(methods(&released), [Method::Bye]);
-    harness.input(Input::Leaving(caller));
+    harness.input(Input::PeerHalfClosed(caller));
     let next = harness.connect_caller();
     harness.bytes(next, &request_about(Method::Options, NEXT));
     assert_eq!(methods(&harness.read(next)), [Method::Bye]);
@@ -462,13 +462,13 @@
     harness.input(Input::Terminate);
     harness.bytes(departing, &invite("00000000000000f0", "dear", LEGS));
     let (_, withdrawn, _) = harness.single_invite();
-    harness.input(Input::Leaving(departing));
+    harness.input(Input::PeerHalfClosed(departing));
     assert_eq!(methods(&harness.read(withdrawn)), [Method::Cancel]);
     harness.close(departing);
     for call in 0..7 {
         let caller = if call % 2 == 0 { open } else { harness.connect_caller() };
         let id = format!("{:016x}", 0xabc000 + call);
-        harness.input(Input::Waited(caller, &invite(&id, "voice", LEGS), 100 * MS));
+        harness.input(Input::DelayedBytes(caller, &invite(&id, "voice", LEGS), 100 * MS));
         let (_, conn, forwarded) = harness.single_invite();
         harness.input(Input::Terminate);
         harness.bytes(conn, &ok(&forwarded));
--- a/crates/lemoncleat-access/tests/servers.rs
+++ b/crates/lemoncleat-access/tests/servers.rs
@@ -496,12 +496,12 @@
     event(&mut harness, &hosts(2, ""));
     let moved = address("127.0.0.8:7070");
     harness.reachable.insert(moved);
-    harness.input(Input::JournalAt(moved));
+    harness.input(Input::JournalMoved(moved));
     assert!(harness.closed.contains(&old));
     let new = harness.conns_to(moved)[0];
     assert_eq!(harness.read_raw(new), b"tail 2\n");
     // Reloaded without a change: no effect.
-    harness.input(Input::JournalAt(moved));
+    harness.input(Input::JournalMoved(moved));
     assert_eq!(harness.conns_to(moved), [new]);
 }
 
--- a/crates/lemoncleat-access/tests/watch.rs
+++ b/crates/lemoncleat-access/tests/watch.rs
@@ -202,7 +202,7 @@
     harness.input(Input::Timeout);
     let (old, _) = *harness.dials.iter().find(|(_, to)| *to == journal()).expect("a dial");
     let moved = address("127.0.0.8:7070");
-    harness.input(Input::JournalAt(moved));
+    harness.input(Input::JournalMoved(moved));
     assert!(
         harness.dials.iter().all(|(dial, to)| *dial != old && *to != journal()),
         "the old dial is cancelled"
@@ -214,7 +214,7 @@
     assert!(harness.closed.contains(&late) && harness.read_raw(late).is_empty());
     harness.input(Input::DialFailed { dial: old, refused: true });
     // The same address again starts no new dial.
-    harness.input(Input::JournalAt(moved));
+    harness.input(Input::JournalMoved(moved));
     assert_eq!(harness.dials.iter().filter(|(_, to)| *to == moved).count(), 1);
     harness.reachable.insert(moved);
     harness.advance(MS);
--- a/crates/lemoncleat-access/tests/withdrawals.rs
+++ b/crates/lemoncleat-access/tests/withdrawals.rs
@@ -119,7 +119,7 @@
                 "CANCEL elsewhere" => harness.bytes(other, &request_about(Method::Cancel, ID)),
                 "BYE" => harness.bytes(other, &bye(ID, 16)),
                 "close" => harness.close(caller),
-                _ => harness.input(lemoncleat_access::Input::Leaving(caller)),
+                _ => harness.input(lemoncleat_access::Input::PeerHalfClosed(caller)),
             }
             harness.invites();
             let before = harness.node.stats().attempts;
@@ -268,7 +268,7 @@
         harness.read(conn);
         harness.advance(after * MS);
         // The end of the connection is seen before the ACK ahead of it is read.
-        harness.input(lemoncleat_access::Input::Leaving(caller));
+        harness.input(lemoncleat_access::Input::PeerHalfClosed(caller));
         if acked {
             harness.bytes(caller, &request_about(Method::Ack, ID));
         }
@@ -340,7 +340,7 @@
                     gone.insert(id);
                 }
                 6 => {
-                    harness.input(lemoncleat_access::Input::Leaving(caller));
+                    harness.input(lemoncleat_access::Input::PeerHalfClosed(caller));
                     leaving.insert(caller);
                     gone.extend(sent.iter().filter(|(_, conn)| *conn == caller).map(|(id, _)| id.clone()));
                 }
@@ -384,7 +384,7 @@
         ("CANCEL", |harness, caller, _| harness.bytes(caller, &request_about(Method::Cancel, ID))),
         ("BYE", |harness, caller, _| harness.bytes(caller, &bye(ID, 16))),
         ("close", |harness, caller, _| harness.close(caller)),
-        ("leaving", |harness, caller, _| harness.input(lemoncleat_access::Input::Leaving(caller))),
+        ("leaving", |harness, caller, _| harness.input(lemoncleat_access::Input::PeerHalfClosed(caller))),
         ("the attempt's time is over", |harness, _, _| harness.advance(1_600 * MS)),
         ("what the server sends can't be read", |harness, _, to| harness.bytes(to, b"\0\r\n\r\n")),
         ("the server's release", |harness, _, to| harness.bytes(to, &bye(ID, 41))),
--- a/crates/lemoncleat-service/src/access.rs
+++ b/crates/lemoncleat-service/src/access.rs
@@ -216,7 +216,7 @@
     /// Reports peers that have shut down their sending side to the core, before any other work is started.
     fn report_half_closed(&mut self) {
         for conn in self.net.take_ended() {
-            self.handle(Input::Leaving(ConnId(conn)));
+            self.handle(Input::PeerHalfClosed(ConnId(conn)));
         }
     }
 
@@ -225,13 +225,13 @@
         match event {
             Event::Accepted { conn, .. } => self.handle(Input::Accepted(ConnId(conn))),
             Event::Dialled { tag, conn } => self.handle(Input::Dialled(DialId(tag), ConnId(conn))),
-            Event::DialFailed { tag, local: true, .. } => self.handle(Input::NotDialled(DialId(tag))),
+            Event::DialFailed { tag, local: true, .. } => self.handle(Input::DialNotStarted(DialId(tag))),
             Event::DialFailed { tag, refused, .. } => {
                 self.handle(Input::DialFailed { dial: DialId(tag), refused });
             }
             Event::Bytes { conn, bytes } => {
                 let waited = self.net.waited_since().elapsed().as_micros() as Micros;
-                self.handle(Input::Waited(ConnId(conn), &bytes, waited));
+                self.handle(Input::DelayedBytes(ConnId(conn), &bytes, waited));
             }
             Event::Closed { conn } => self.handle(Input::Closed(ConnId(conn))),
             Event::Message(AccessControl::Datagram(from, bytes)) => {
@@ -239,7 +239,7 @@
             }
             Event::Message(AccessControl::Stop) => self.handle(Input::Terminate),
             Event::Message(AccessControl::Reload) => self.reload(),
-            Event::Message(AccessControl::JournalAt(address)) => self.handle(Input::JournalAt(address)),
+            Event::Message(AccessControl::JournalAt(address)) => self.handle(Input::JournalMoved(address)),
         }
         self.perform();
     }
@@ -264,22 +264,22 @@
                     self.net.send_revocable(conn.0, call.0, &bytes);
                     self.bound_waiting(conn);
                 }
-                Output::Withdraw(conn, call, otherwise) => {
+                Output::WithdrawInvite(conn, call, otherwise) => {
                     if !self.net.take_back(conn.0, call.0) && !otherwise.is_empty() {
                         self.net.send(conn.0, &otherwise);
                         self.bound_waiting(conn);
                     }
                 }
                 Output::Close(conn) => self.net.close(conn.0),
-                Output::CloseIfQuiet(conn) => {
+                Output::CloseIfNothingUnread(conn) => {
                     if self.net.has_input(conn.0) {
-                        self.handle(Input::NotQuiet(conn));
+                        self.handle(Input::CloseDeclined(conn));
                     } else {
                         self.net.close(conn.0);
                     }
                 }
                 Output::HangUp(conn) => self.net.hang_up(conn.0),
-                Output::Tell(address, bytes) => {
+                Output::SendDatagram(address, bytes) => {
                     if let Some(socket) = &self.note_socket {
                         // Notes may be lost, so that a failed send is ignored.
                         let _ = socket.get_ref().send_to(&bytes, address);
