--- a/crates/lemoncleat-net/src/lib.rs
+++ b/crates/lemoncleat-net/src/lib.rs
@@ -215,7 +215,7 @@
     buffer: Rc<RefCell<Vec<u8>>>,
     /// Tasks of closed connections that still write, or read and discard.
     lingering: Vec<Task<()>>,
-    /// Connections whose end of input was seen and not yet returned by [`Net::take_ended`].
+    /// Connections whose end of input was seen and not yet returned by [`Net::take_half_closed`].
     ended: Rc<RefCell<Vec<u64>>>,
     /// The connection of the last [`Event::Closed`]: it may still be written to until the next event.
     closed: Option<u64>,
@@ -361,7 +361,7 @@
     /// Answers the TLS-ALPN challenge handshakes of a certificate authority (RFC 8737) with this
     /// configuration on the listeners of a tag and closes their connections; without one they are served like
     /// all others.
-    pub fn prove_with_tls(&mut self, tag: u64, proof: Option<Arc<ServerConfig>>) {
+    pub fn set_acme_challenge(&mut self, tag: u64, proof: Option<Arc<ServerConfig>>) {
         if let Some(tls) = self.listener_tls.get_mut(&tag) {
             tls.proof = proof;
         }
@@ -471,7 +471,7 @@
         }
     }
 
-    /// Queues bytes that [`Net::take_back`] can revoke under a name as long as none of them has been written.
+    /// Queues bytes that [`Net::revoke`] can revoke under a name as long as none of them has been written.
     /// On TLS connections they can't be revoked, since an encrypted record can't be left out.
     pub fn send_revocable(&mut self, conn: u64, name: u64, bytes: &[u8]) {
         if let Some(state) = self.conns.get_mut(&conn).filter(|state| state.tls.is_none()) {
@@ -482,7 +482,7 @@
 
     /// Revokes the bytes last queued on a connection under a name. Returns false and changes nothing if there
     /// are none or some of them have been written.
-    pub fn take_back(&mut self, conn: u64, name: u64) -> bool {
+    pub fn revoke(&mut self, conn: u64, name: u64) -> bool {
         let Some(state) = self.conns.get_mut(&conn) else { return false };
         let Some(at) = state.revocable.iter().rposition(|part| part.name == name) else { return false };
         let Some(removed) = state.revocable.remove(at) else { return false };
@@ -670,7 +670,7 @@
     /// Returns the connections whose peer shut down its sending side, or that failed, since the last call:
     /// each once, before its [`Event::Closed`]. Bytes sent earlier may still follow. Call it before each
     /// event and each timer, so that no work is started for a peer that the system knows to have left.
-    pub fn take_ended(&mut self) -> Vec<u64> {
+    pub fn take_half_closed(&mut self) -> Vec<u64> {
         std::mem::take(&mut *self.ended.borrow_mut())
     }
 
@@ -870,7 +870,7 @@
     /// Returns the earliest moment at which the bytes of the last event can have arrived. While the loop
     /// keeps up that is just before they were read; bytes that arrived while the loop was busy count from the
     /// time at which it became busy.
-    pub fn waited_since(&self) -> Instant {
+    pub fn earliest_arrival(&self) -> Instant {
         self.earliest_arrival
     }
 
--- a/crates/lemoncleat-net/tests/ends.rs
+++ b/crates/lemoncleat-net/tests/ends.rs
@@ -56,9 +56,9 @@
         let conn = accepted(&mut net).await;
         assert!(matches!(next(&mut net).await, Event::Bytes { bytes, .. } if bytes == b"INVITE"));
         // The bytes were returned as an event; the close event is still queued.
-        assert_eq!(net.take_ended(), [conn]);
+        assert_eq!(net.take_half_closed(), [conn]);
         assert!(matches!(next(&mut net).await, Event::Closed { .. }));
-        assert_eq!(net.take_ended(), [], "reported once");
+        assert_eq!(net.take_half_closed(), [], "reported once");
     });
 }
 
@@ -75,11 +75,11 @@
         net.look().await;
         net.look().await;
         assert!(net.has_input(conns[1]));
-        assert_eq!(net.take_ended(), []);
+        assert_eq!(net.take_half_closed(), []);
         // End of input arrives, and no task runs before the loop takes the bytes.
         second.shutdown(Shutdown::Write).expect("the sending side is shut down");
         assert!(matches!(net.try_next(), Some(Event::Bytes { bytes, .. }) if bytes == b"waits"));
-        assert_eq!(net.take_ended(), [conns[1]]);
+        assert_eq!(net.take_half_closed(), [conns[1]]);
         drop(first);
     });
 }
@@ -104,7 +104,7 @@
         let mut reported = Vec::new();
         loop {
             let event = next(&mut net).await;
-            reported.extend(net.take_ended());
+            reported.extend(net.take_half_closed());
             match event {
                 Event::Bytes { conn, bytes } if conn == conns[1] => {
                     assert_eq!((bytes.as_slice(), reported.as_slice()), (b"waits".as_slice(), &conns[1..]));
@@ -126,7 +126,7 @@
         net.listen(listener, 0).expect("it listens");
         let conn = accepted(&mut net).await;
         let Event::Closed { conn: closed } = next(&mut net).await else { panic!("not closed") };
-        assert_eq!((closed, net.take_ended()), (conn, vec![conn]));
+        assert_eq!((closed, net.take_half_closed()), (conn, vec![conn]));
         // It may be written to until the next event. Sends more than the kernel accepts at once.
         net.send(conn, &vec![b'5'; 16 << 20]);
         net.flush();
@@ -288,17 +288,17 @@
         net.flush();
         let waiting = net.waiting(conn);
         assert!(waiting > 0 && waiting < first.len(), "the system took {} bytes", first.len() - waiting);
-        assert!(!net.take_back(conn, 1), "some of it was written");
+        assert!(!net.revoke(conn, 1), "some of it was written");
         for (name, byte) in [(2, b'2'), (3, b'3'), (4, b'4'), (3, b'5')] {
             net.send_revocable(conn, name, &[byte; 10]);
         }
         net.send(conn, b"between");
         net.send_revocable(conn, 6, b"666");
-        assert!(net.take_back(conn, 3), "the last part queued under the name");
-        assert!(net.take_back(conn, 2) && !net.take_back(conn, 2), "can be revoked only once");
-        assert!(!net.take_back(conn, 7) && !net.take_back(conn + 1, 4), "was never queued");
+        assert!(net.revoke(conn, 3), "the last part queued under the name");
+        assert!(net.revoke(conn, 2) && !net.revoke(conn, 2), "can be revoked only once");
+        assert!(!net.revoke(conn, 7) && !net.revoke(conn + 1, 4), "was never queued");
         net.flush();
-        assert!(net.take_back(conn, 6), "start offset is adjusted after the flush");
+        assert!(net.revoke(conn, 6), "start offset is adjusted after the flush");
         let reader = thread::spawn(move || read_to_end(&mut peer));
         net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
         let read = reader.join().expect("it reads").expect("an end in order");
@@ -317,9 +317,9 @@
         let conn = accepted(&mut net).await;
         net.send_revocable(conn, 1, b"gone");
         net.send_revocable(conn, 2, b"taken back before it was offered");
-        assert!(net.take_back(conn, 2));
+        assert!(net.revoke(conn, 2));
         net.flush();
-        assert!(!net.take_back(conn, 1));
+        assert!(!net.revoke(conn, 1));
         net.send_revocable(conn, 1, b", and more");
         peer.shutdown(Shutdown::Write).expect("a socket");
         net.end(TEST_TIMEOUT, TEST_TIMEOUT).await;
--- a/crates/lemoncleat-net/tests/tls.rs
+++ b/crates/lemoncleat-net/tests/tls.rs
@@ -374,7 +374,7 @@
         let address = listener.local_addr().expect("an address");
         net.listen_with_tls(7, a.server(MinVersion::Tls13), 10, HANDSHAKE_TIMEOUT);
         let pem = format!("{}{}", key.serialize_pem(), challenge_certificate.pem());
-        net.prove_with_tls(7, Some(proof_config(&pem).expect("a proof")));
+        net.set_acme_challenge(7, Some(proof_config(&pem).expect("a proof")));
         net.listen(listener, 7).expect("it listens");
         // A client that offers the challenge protocol gets the self-signed certificate and needs none of its
         // own.
--- a/crates/lemoncleat-service/src/access.rs
+++ b/crates/lemoncleat-service/src/access.rs
@@ -215,7 +215,7 @@
 
     /// Reports peers that have shut down their sending side to the core, before any other work is started.
     fn report_half_closed(&mut self) {
-        for conn in self.net.take_ended() {
+        for conn in self.net.take_half_closed() {
             self.handle(Input::PeerHalfClosed(ConnId(conn)));
         }
     }
@@ -230,7 +230,7 @@
                 self.handle(Input::DialFailed { dial: DialId(tag), refused });
             }
             Event::Bytes { conn, bytes } => {
-                let waited = self.net.waited_since().elapsed().as_micros() as Micros;
+                let waited = self.net.earliest_arrival().elapsed().as_micros() as Micros;
                 self.handle(Input::DelayedBytes(ConnId(conn), &bytes, waited));
             }
             Event::Closed { conn } => self.handle(Input::Closed(ConnId(conn))),
@@ -265,7 +265,7 @@
                     self.bound_waiting(conn);
                 }
                 Output::WithdrawInvite(conn, call, otherwise) => {
-                    if !self.net.take_back(conn.0, call.0) && !otherwise.is_empty() {
+                    if !self.net.revoke(conn.0, call.0) && !otherwise.is_empty() {
                         self.net.send(conn.0, &otherwise);
                         self.bound_waiting(conn);
                     }
--- a/crates/lemoncleat-service/src/service.rs
+++ b/crates/lemoncleat-service/src/service.rs
@@ -416,7 +416,7 @@
                 }
             }
             KeeperEvent::Prove(config, confirmation) => {
-                self.net.prove_with_tls(PEER_LISTENER, config);
+                self.net.set_acme_challenge(PEER_LISTENER, config);
                 // The keeper waits for the confirmation, unless it has given up.
                 let _ = confirmation.try_send(());
             }
