--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -356,7 +356,7 @@
             consistency::Output::Publish(bytes) => {
                 self.fleet.handle(now, Input::Publish { kind: RULES_FACT, bytes }, &mut self.outputs);
             }
-            consistency::Output::Direct { to, bytes } => {
+            consistency::Output::SendMessage { to, bytes } => {
                 self.actions.push(Action::Send(MemberId(to), PeerMessage::Rules(bytes)));
             }
             consistency::Output::Fence(retry_after) => out.push(Said::Fence(retry_after)),
@@ -366,7 +366,7 @@
                 );
             }
             // Cases are run by the watch itself, and windows are not sealed yet.
-            consistency::Output::Cases | consistency::Output::Play { .. } => {}
+            consistency::Output::Cases | consistency::Output::PlayWindow { .. } => {}
         }
     }
 
@@ -403,7 +403,7 @@
             Output::Fact(fact) if fact.kind == RULES_FACT => {
                 let incarnation = u64::from(lemoncleat_fleet::start_of(fact.incarnation));
                 let (from, age, bytes) = (fact.origin.0, fact.age, fact.bytes);
-                self.check_input(now, consistency::Input::Heard { from, incarnation, age, bytes });
+                self.check_input(now, consistency::Input::FactReceived { from, incarnation, age, bytes });
             }
             Output::Notice(notice) => out.push(self.describe_notice(notice)),
             // Facts are read on demand.
--- a/crates/lemoncleat-commons/src/rules.rs
+++ b/crates/lemoncleat-commons/src/rules.rs
@@ -66,7 +66,7 @@
         // is not compared with others.
         let Ok(tree) = catch_unwind(AssertUnwindSafe(|| cases.advance(1))) else { return };
         match tree {
-            Some(tree) => self.handle(now, Input::Proved(tree), out),
+            Some(tree) => self.handle(now, Input::CasesPlayed(tree), out),
             None => self.cases = Some(cases),
         }
     }
@@ -117,7 +117,9 @@
 
     pub(crate) fn work(&mut self, now: Micros, out: &mut Vec<Output>) {
         match self.queued.pop_front() {
-            Some((from, bytes)) => self.checker.handle(now, Input::Direct { from: from.0, bytes }, out),
+            Some((from, bytes)) => {
+                self.checker.handle(now, Input::MessageReceived { from: from.0, bytes }, out)
+            }
             None => self.checker.run_case(now, out),
         }
     }
@@ -157,7 +159,7 @@
             (true, format!("{nodes} {text} {roots} ways, and no majority in one: nobody is fenced"))
         }
         Notice::Agreed => (false, "all nodes of this version decide alike again".to_owned()),
-        Notice::Differs { node, case, step, ours, theirs } => {
+        Notice::FirstDifference { node, case, step, ours, theirs } => {
             let node = name_of(*node);
             let text = format!("first difference to {node}: case {case}, step {step}");
             (true, format!("{text}; here {ours}; there {theirs}"))
@@ -175,7 +177,9 @@
             let text = format!("{one} and {two} differ from this node's work (window {number})");
             (true, format!("{text}: {}; replayed here: {again:?}", describe_difference(difference)))
         }
-        Notice::Split { number } => (true, format!("the judges of this node's window {number} don't agree")),
+        Notice::JudgesDisagree { number } => {
+            (true, format!("the judges of this node's window {number} don't agree"))
+        }
         Notice::Unplayable { node, id, why } => {
             (false, format!("window {id:016x} of {} can't be replayed: {why:?}", name_of(*node)))
         }
@@ -187,7 +191,7 @@
             true,
             "this node decides otherwise than most: it refuses new calls, standing ones live on".to_owned(),
         ),
-        Notice::NotFenced => (
+        Notice::FenceLimitReached => (
             true,
             "this node decides otherwise than most, but as many as may refuse calls already".to_owned(),
         ),
--- a/crates/lemoncleat-consistency/src/checker.rs
+++ b/crates/lemoncleat-consistency/src/checker.rs
@@ -64,11 +64,11 @@
     /// The rules in force from now on. Sent at the start and after each reload.
     Rules(Rules),
     /// The tree requested by [`Output::Cases`].
-    Proved(Tree),
+    CasesPlayed(Tree),
     /// The members considered alive, with or without this node.
     Alive(BTreeSet<u32>),
     /// A fact published by another node.
-    Heard {
+    FactReceived {
         /// The node concerned.
         from: u32,
         /// The node's incarnation.
@@ -79,7 +79,7 @@
         bytes: Vec<u8>,
     },
     /// A message from another node.
-    Direct {
+    MessageReceived {
         /// The node concerned.
         from: u32,
         /// The content as bytes.
@@ -92,7 +92,7 @@
         /// The window as bytes.
         window: Vec<u8>,
     },
-    /// The result of [`Output::Play`].
+    /// The result of [`Output::PlayWindow`].
     Played {
         /// The node whose window it is.
         from: u32,
@@ -111,7 +111,7 @@
     /// Publish this as the node's fact; at most 160 bytes.
     Publish(Vec<u8>),
     /// Send this to a node; at most 16 KiB. The message may be lost.
-    Direct {
+    SendMessage {
         /// The receiver.
         to: u32,
         /// The message.
@@ -121,7 +121,7 @@
     Cases,
     /// Play a window under the rules in force, on a thread that delays no calls. The window may be this
     /// node's own.
-    Play {
+    PlayWindow {
         /// The node whose window it is.
         from: u32,
         /// The window's id, for [`Input::Played`].
@@ -172,7 +172,7 @@
     /// All nodes of the same version agree again.
     Agreed,
     /// The first case and step at which another node decides differently from this one.
-    Differs {
+    FirstDifference {
         /// The other node.
         node: u32,
         /// The generated case.
@@ -205,7 +205,7 @@
         again: Result<Played, Unplayable>,
     },
     /// The judges of one of this node's windows disagree: one of them may be wrong.
-    Split {
+    JudgesDisagree {
         /// The window's number.
         number: u32,
     },
@@ -226,7 +226,7 @@
     /// This node refuses new calls from now on.
     Fenced,
     /// This node should be fenced, but the maximum number of nodes already is.
-    NotFenced,
+    FenceLimitReached,
     /// This node accepts calls again.
     Unfenced,
 }
@@ -310,12 +310,12 @@
         self.advance_clock(now);
         match input {
             Input::Rules(rules) => self.set_rules(rules, out),
-            Input::Proved(tree) => self.set_tree(tree, out),
+            Input::CasesPlayed(tree) => self.set_tree(tree, out),
             Input::Alive(alive) => self.alive = alive,
-            Input::Heard { from, incarnation, age, bytes } => {
+            Input::FactReceived { from, incarnation, age, bytes } => {
                 self.handle_statement(from, incarnation, age, &bytes)
             }
-            Input::Direct { from, bytes } => self.handle_message(from, &bytes, out),
+            Input::MessageReceived { from, bytes } => self.handle_message(from, &bytes, out),
             Input::Sealed { number, window } => self.send_window(number, window, out),
             Input::Played { from, id, result } => self.handle_played(from, id, result, out),
             Input::Timeout => {}
@@ -465,7 +465,7 @@
     }
 
     fn send(&self, to: u32, message: &Message, out: &mut Vec<Output>) {
-        out.push(Output::Direct { to, bytes: encode(message) });
+        out.push(Output::SendMessage { to, bytes: encode(message) });
     }
 
     /// Whether the case number is valid; a node of another build may use other numbers.
--- a/crates/lemoncleat-consistency/src/checker/descent.rs
+++ b/crates/lemoncleat-consistency/src/checker/descent.rs
@@ -132,7 +132,7 @@
                 if v == version && (*c, *s) == (case, step) =>
             {
                 let (ours, theirs) = (describe::<D>(rules, case, step), truncate_text(text));
-                out.push(Output::Notice(Notice::Differs { node: from, case, step, ours, theirs }));
+                out.push(Output::Notice(Notice::FirstDifference { node: from, case, step, ours, theirs }));
                 self.finished_descents.insert(from, root);
                 None
             }
--- a/crates/lemoncleat-consistency/src/checker/fence.rs
+++ b/crates/lemoncleat-consistency/src/checker/fence.rs
@@ -138,7 +138,7 @@
                 Digest::of(&[self.now.to_le_bytes(), i64::from(self.me).to_le_bytes()].concat()).seed();
             let rest = CLAIM_ROUND_INTERVAL_US / 4 + (spread % CLAIM_ROUND_INTERVAL_US as u64) as Micros;
             (self.fencing.slots_tried, self.fencing.next_claim_at) = (0, self.now.saturating_add(rest));
-            out.push(Output::Notice(Notice::NotFenced));
+            out.push(Output::Notice(Notice::FenceLimitReached));
             return;
         }
         let mut claims = BTreeMap::<u8, usize>::new();
--- a/crates/lemoncleat-consistency/src/checker/windows.rs
+++ b/crates/lemoncleat-consistency/src/checker/windows.rs
@@ -173,7 +173,7 @@
                     return;
                 }
                 lemoncleat_faults::point!(RULES_PLAY);
-                out.push(Output::Play { from, id, window });
+                out.push(Output::PlayWindow { from, id, window });
             }
         }
         self.send(from, &Message::PieceReceived { id, index }, out);
@@ -236,10 +236,12 @@
             [(first, Ok(Played::Different(one))), (second, Ok(Played::Different(two)))] if one == two => {
                 outgoing.agreed = Some((one, [first, second]));
                 let window = outgoing.window.clone();
-                out.push(Output::Play { from: self.me, id, window });
+                out.push(Output::PlayWindow { from: self.me, id, window });
                 return;
             }
-            [(_, Ok(one)), (_, Ok(two))] if one != two => out.push(Output::Notice(Notice::Split { number })),
+            [(_, Ok(one)), (_, Ok(two))] if one != two => {
+                out.push(Output::Notice(Notice::JudgesDisagree { number }))
+            }
             _ => {}
         }
         self.outgoing = None;
--- a/crates/lemoncleat-consistency/tests/common/mod.rs
+++ b/crates/lemoncleat-consistency/tests/common/mod.rs
@@ -389,19 +389,19 @@
             Task::Fact { from, incarnation, made_at, bytes } => {
                 if node.cut_in <= self.now {
                     let age = self.now - made_at;
-                    self.input(me, Input::Heard { from, incarnation, age, bytes });
+                    self.input(me, Input::FactReceived { from, incarnation, age, bytes });
                 }
             }
             Task::Direct { from, bytes } => {
                 if node.cut_in <= self.now {
-                    self.input(me, Input::Direct { from, bytes });
+                    self.input(me, Input::MessageReceived { from, bytes });
                 }
             }
             Task::SendTree(rules, incarnation) => {
                 if node.incarnation == incarnation && node.rules.version() == rules.version() {
                     VARIANT.set(node.variant);
                     let tree = tree(&rules);
-                    self.input(me, Input::Proved(tree));
+                    self.input(me, Input::CasesPlayed(tree));
                 }
             }
             Task::Play { from, id, window } => {
@@ -525,7 +525,7 @@
                     self.schedule(after, to, fact);
                 }
             }
-            Output::Direct { to, bytes } => {
+            Output::SendMessage { to, bytes } => {
                 assert!(bytes.len() <= 16 << 10, "a message of {} bytes", bytes.len());
                 self.bytes += bytes.len() as u64;
                 // Messages may be lost, duplicated and reordered.
@@ -539,7 +539,7 @@
                 let rules = self.nodes[me as usize].rules.clone();
                 self.schedule(SECOND, me, Task::SendTree(rules, incarnation));
             }
-            Output::Play { from, id, window } => {
+            Output::PlayWindow { from, id, window } => {
                 self.schedule(SECOND / 5, me, Task::Play { from, id, window });
             }
             Output::Fence(fence) => {
--- a/crates/lemoncleat-consistency/tests/planted.rs
+++ b/crates/lemoncleat-consistency/tests/planted.rs
@@ -37,7 +37,9 @@
             && fleet.first_notice(blamed).is_none()
     );
     let differs = fleet.notices.iter().find_map(|(_, me, notice)| match notice {
-        Notice::Differs { case, step, ours, theirs, .. } if *me == 4 => Some((*case, *step, ours, theirs)),
+        Notice::FirstDifference { case, step, ours, theirs, .. } if *me == 4 => {
+            Some((*case, *step, ours, theirs))
+        }
         _ => None,
     });
     let (case, step, ours, theirs) = differs.expect("the first difference");
@@ -55,7 +57,7 @@
     let mut fleet = Fleet::new(FleetConfig::new(5, 3), &rules(1.0), |me| Variant::HashOrdered(me.into()));
     fleet.run(30 * SECOND);
     assert!(fleet.first_notice(|_, notice| matches!(notice, Notice::Undecided { .. })).is_some());
-    assert!(fleet.first_notice(|_, notice| matches!(notice, Notice::Differs { .. })).is_some());
+    assert!(fleet.first_notice(|_, notice| matches!(notice, Notice::FirstDifference { .. })).is_some());
     assert!(fleet.fences.is_empty());
 }
 
@@ -157,7 +159,7 @@
         fleet.run(240 * SECOND);
         // The limit of two slots is checked after each step; which of the six nodes get them is random.
         assert!((1..=2).contains(&fleet.fences.len()), "seed {seed}: {:?}", fleet.fences);
-        assert!(fleet.first_notice(|_, notice| *notice == Notice::NotFenced).is_some());
+        assert!(fleet.first_notice(|_, notice| *notice == Notice::FenceLimitReached).is_some());
     }
 }
 
@@ -181,10 +183,10 @@
         };
         let patched = |me| if me == 4 { Variant::Patched } else { Variant::Correct };
         let mut fleet = Fleet::new(config, &rules(1.0), patched);
-        let constant = found(&mut fleet, 0, &|_, notice| matches!(notice, Notice::Differs { .. }));
+        let constant = found(&mut fleet, 0, &|_, notice| matches!(notice, Notice::FirstDifference { .. }));
         let fenced = found(&mut fleet, 0, &|_, notice| *notice == Notice::Fenced);
         let mut fleet = Fleet::new(config, &rules(1.0), |me| Variant::HashOrdered((me % 9).into()));
-        let hashed = found(&mut fleet, 0, &|_, notice| matches!(notice, Notice::Differs { .. }));
+        let hashed = found(&mut fleet, 0, &|_, notice| matches!(notice, Notice::FirstDifference { .. }));
         let mut fleet = Fleet::new(config, &rules(1.0), all_correct);
         fleet.run(30 * SECOND);
         let before = fleet.bytes;
