--- a/crates/lemoncleat-cli/src/chain.rs
+++ b/crates/lemoncleat-cli/src/chain.rs
@@ -15,11 +15,11 @@
 }
 
 fn plan(args: &ChainArgs, seed: u64, variant: Variant) -> Plan {
-    use lemoncleat_simulate::chain::{Failing, Part};
+    use lemoncleat_simulate::chain::{FailureMode, Part};
     let how = match args.how {
-        FailingArg::Error => Failing::Error,
-        FailingArg::Silence => Failing::Silence,
-        FailingArg::Refusal => Failing::Refusal,
+        FailingArg::Error => FailureMode::Error,
+        FailingArg::Silence => FailureMode::Silence,
+        FailingArg::Refusal => FailureMode::Refusal,
     };
     let part = match args.part {
         PartArg::Servers => Part::Servers,
--- a/crates/lemoncleat-cli/src/simulate.rs
+++ b/crates/lemoncleat-cli/src/simulate.rs
@@ -191,7 +191,7 @@
 fn draw_plan(seed: u64, args: &SimulateArgs) -> fleet::Plan {
     let plan = fleet::Plan::draw(seed, args.nodes as usize);
     if args.configuration {
-        plan.configured()
+        plan.with_configuration()
     } else {
         plan
     }
--- a/crates/lemoncleat-simulate/src/chain.rs
+++ b/crates/lemoncleat-simulate/src/chain.rs
@@ -19,7 +19,7 @@
 /// How a failing set-up at the last level ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Failing {
+pub enum FailureMode {
     /// The server does the work and answers with an error.
     Error,
     /// The server does the work and never answers.
@@ -119,7 +119,7 @@
     /// Share that fails, 0 to 1.
     pub fails: f64,
     /// How the failing set-ups end.
-    pub how: Failing,
+    pub how: FailureMode,
     /// What fails.
     pub part: Part,
     /// Settings of nodes and servers.
@@ -145,7 +145,7 @@
             failing: 8_000_000,
             after: 60_000_000,
             fails: fails.clamp(0.0, 1.0),
-            how: Failing::Error,
+            how: FailureMode::Error,
             part: Part::Servers,
             variant,
         }
--- a/crates/lemoncleat-simulate/src/chain/run.rs
+++ b/crates/lemoncleat-simulate/src/chain/run.rs
@@ -10,7 +10,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::{Failing, Left, Outcome, Part, Plan, Span, UpwardAnswer};
+use super::{FailureMode, Left, Outcome, Part, Plan, Span, UpwardAnswer};
 use crate::Micros;
 
 /// Longest wait at a server; it refuses a set-up that would wait longer, at this share of a set-up's work.
@@ -473,7 +473,7 @@
             self.bottom[second] += 1;
         }
         let work = 1e6 / plan.capacity.max(1e-3);
-        let refuses = last && plan.how == Failing::Refusal && self.is_failing(server);
+        let refuses = last && plan.how == FailureMode::Refusal && self.is_failing(server);
         let busy = &mut self.busy[level][server];
         let begins = now.max(*busy);
         let wait = begins - now;
@@ -494,10 +494,10 @@
         let (root, level, server) = (state.root, state.level, state.server);
         let left = state.deadline - now;
         if level + 1 == plan.depth {
-            if plan.how == Failing::Refusal || !self.is_failing(server) {
+            if plan.how == FailureMode::Refusal || !self.is_failing(server) {
                 return self.server_answers(id, Answer::Ok);
             }
-            if plan.how == Failing::Error {
+            if plan.how == FailureMode::Error {
                 self.server_answers(id, Answer::Error);
             }
             return;
--- a/crates/lemoncleat-simulate/src/fleet/plan.rs
+++ b/crates/lemoncleat-simulate/src/fleet/plan.rs
@@ -172,14 +172,14 @@
         let changes = None;
         let plan = Plan { seed, nodes, voters, round, delay, watchdog, faults, calm, orders, changes };
         if SmallRng::seed_from_u64(seed ^ 0x0073_7761_726d_0000).random() {
-            plan.configured()
+            plan.with_configuration()
         } else {
             plan
         }
     }
 
     /// Returns the plan with a configuration that operators change, if it has none.
-    pub fn configured(mut self) -> Plan {
+    pub fn with_configuration(mut self) -> Plan {
         if self.changes.is_none() {
             let changes = Changes::draw(self.seed, self.nodes, (WARM_UP_US, self.calm), &mut self.faults);
             self.changes = Some(changes);
--- a/crates/lemoncleat-simulate/tests/chain.rs
+++ b/crates/lemoncleat-simulate/tests/chain.rs
@@ -1,6 +1,8 @@
 //! Chains of services under the virtual clock.
 
-use lemoncleat_simulate::chain::{chain_latency, play, Failing, Outcome, Part, Plan, UpwardAnswer, VARIANTS};
+use lemoncleat_simulate::chain::{
+    chain_latency, play, FailureMode, Outcome, Part, Plan, UpwardAnswer, VARIANTS,
+};
 
 fn short_plan(seed: u64, depth: usize, name: &str) -> Plan {
     let variant = VARIANTS.into_iter().find(|one| one.name == name).expect("no variant of that name");
@@ -36,7 +38,7 @@
 #[test]
 fn each_call_has_one_answer_in_time_for_every_variant_and_failure() {
     for variant in VARIANTS {
-        for how in [Failing::Error, Failing::Silence, Failing::Refusal] {
+        for how in [FailureMode::Error, FailureMode::Silence, FailureMode::Refusal] {
             for part in [Part::Servers, Part::SetUps] {
                 let fails = if part == Part::Servers { 1.0 } else { 0.5 };
                 let outcome = play_and_check(&Plan { how, part, fails, ..short_plan(3, 3, variant.name) });
@@ -52,7 +54,7 @@
 #[test]
 fn no_attempt_begins_after_the_callers_deadline_when_the_time_left_is_handed_down() {
     for variant in VARIANTS.iter().filter(|variant| variant.handed_down) {
-        let outcome = play_and_check(&Plan { how: Failing::Silence, ..short_plan(5, 5, variant.name) });
+        let outcome = play_and_check(&Plan { how: FailureMode::Silence, ..short_plan(5, 5, variant.name) });
         assert_eq!(outcome.spans.iter().map(|span| span.late).sum::<u64>(), 0, "{variant:?}");
     }
 }
--- a/crates/lemoncleat-simulate/tests/fleet.rs
+++ b/crates/lemoncleat-simulate/tests/fleet.rs
@@ -39,7 +39,7 @@
 }
 
 fn play_configured(seed: u64) -> VersionCounts {
-    let outcome = play(&Plan::draw(seed, 9).configured(), None);
+    let outcome = play(&Plan::draw(seed, 9).with_configuration(), None);
     let reproduce =
         format!("reproduce with: lemoncleat simulate --fleet --configuration --seed {seed} --trace");
     assert_eq!(outcome.finding, None, "seed {seed}; {reproduce}");
@@ -125,7 +125,7 @@
 
     fn found_in_versions(plant: lemoncleat_configuration::Plant, within: u64, violation: &str) {
         lemoncleat_configuration::plant(Some(plant));
-        let found = |seed: u64| play(&Plan::draw(seed, 9).configured(), None).finding;
+        let found = |seed: u64| play(&Plan::draw(seed, 9).with_configuration(), None).finding;
         let first = (0..within).find_map(|seed| Some((seed, found(seed)?.1)));
         lemoncleat_configuration::plant(None);
         let (seed, why) = first.unwrap_or_else(|| panic!("not found in {within} seeds: {violation}"));
