--- a/crates/lemoncleat-access/src/node.rs
+++ b/crates/lemoncleat-access/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use lemoncleat::{Action, CallId, Controller, Event, MemberNews, SettingsError};
+use lemoncleat::{Action, CallId, Controller, Event, ServerListUpdate, SettingsError};
 use lemoncleat_core::{Micros, Wheel};
 use lemoncleat_platform::NodeConfig;
 
@@ -11,8 +11,8 @@
 use crate::fleet::JoinedFleet;
 use crate::interface::{ConnId, Input, Output, Stats};
 use crate::journal::Journal;
-use crate::notes::PeerMessages;
 use crate::notice::Notice;
+use crate::peer_messages::PeerMessages;
 use crate::releases::Releases;
 use crate::servers::Servers;
 use crate::timing::{MAINTENANCE_INTERVAL_US, MAX_RELEASES};
@@ -157,7 +157,7 @@
         self.received_at = self.now;
         match input {
             Input::Accepted(conn) => self.caller_accepted(conn),
-            Input::NotQuiet(conn) => self.keep_unread_caller(conn),
+            Input::CloseDeclined(conn) => self.keep_unread_caller(conn),
             Input::Dialled(dial, conn) => {
                 if self.journal.is_dial(dial) {
                     self.journal_dialled(conn);
@@ -172,7 +172,7 @@
                     self.server_dial_failed(dial, refused);
                 }
             }
-            Input::NotDialled(dial) => {
+            Input::DialNotStarted(dial) => {
                 if self.journal.is_dial(dial) {
                     self.journal_down("the dial could not be started");
                 } else {
@@ -180,11 +180,11 @@
                 }
             }
             Input::Bytes(conn, bytes) => self.bytes_received(conn, bytes),
-            Input::Waited(conn, bytes, waited) => {
+            Input::DelayedBytes(conn, bytes, waited) => {
                 self.received_at = self.now - waited.max(0);
                 self.bytes_received(conn, bytes);
             }
-            Input::Leaving(conn) => self.caller_half_closed(conn),
+            Input::PeerHalfClosed(conn) => self.caller_half_closed(conn),
             Input::Closed(conn) => match self.owner_of(conn) {
                 Some(ConnOwner::Caller) => self.caller_closed(conn),
                 Some(ConnOwner::Server) => self.server_closed(conn),
@@ -196,7 +196,7 @@
                 self.complete_caller_closes();
                 self.fire_timers();
             }
-            Input::JournalAt(address) => self.move_journal(address),
+            Input::JournalMoved(address) => self.move_journal(address),
             Input::Terminate => self.terminate(),
         }
         self.dispatch_events();
@@ -259,7 +259,7 @@
         self.events.push_back(event);
     }
 
-    pub(crate) fn queue_member_news(&mut self, news: MemberNews) {
+    pub(crate) fn queue_member_news(&mut self, news: ServerListUpdate) {
         self.queue_event(Event::Members(news));
     }
 
--- a/crates/lemoncleat-access/src/servers.rs
+++ b/crates/lemoncleat-access/src/servers.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use lemoncleat::{Availability, CallId, Event, MemberNews, Outcome, Reason, Report, ServerId};
+use lemoncleat::{Availability, CallId, Event, Outcome, Reason, Report, ServerId, ServerListUpdate};
 use lemoncleat_core::Micros;
 use lemoncleat_platform::{diagnosis, report_of_text, Names, ServerNews};
 use lemoncleat_sip::{response, Message, Method, Reader, Start};
@@ -367,7 +367,11 @@
         if self.tracing {
             self.log_servers();
         }
-        let news = if news.complete { MemberNews::Complete(members) } else { MemberNews::Changes(members) };
+        let news = if news.complete {
+            ServerListUpdate::Complete(members)
+        } else {
+            ServerListUpdate::Changes(members)
+        };
         self.queue_member_news(news);
         for id in self.servers.in_rotated_order() {
             self.maintain_server(id);
@@ -774,7 +778,7 @@
         }
         while let Some(state) = self.servers.conns.get_mut(&conn) {
             match state.reader.next_message() {
-                Ok(Some(_)) if !state.reader.follows_well() => {
+                Ok(Some(_)) if !state.reader.rest_is_plausible() => {
                     self.stats.bad_server_messages += 1;
                     return self.drop_server_conn(conn, Some("data after a message is not a SIP message"));
                 }
--- a/crates/lemoncleat-commons/src/part.rs
+++ b/crates/lemoncleat-commons/src/part.rs
@@ -6,14 +6,14 @@
 use lemoncleat_agreement::Batch;
 use lemoncleat_configuration::{self as distribution, Calls};
 use lemoncleat_consistency::{self as consistency, Decider};
-use lemoncleat_fleet::{Carrier, Fleet, Input, Kind, Member, MemberId, Notice, Output, State, Timing};
+use lemoncleat_fleet::{Fleet, Input, Kind, Member, MemberId, Notice, Output, State, Timing, Transport};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
 use crate::configuration::Configuration;
-use crate::pieces::{Fragmenter, PeerMessage};
+use crate::fragments::{Fragmenter, PeerMessage};
 use crate::rules::{RulesCheck, RulesWatch};
-use crate::seat::{Action, Agreement, Seat};
+use crate::seat::{Action, Agreement, VoterRole};
 use crate::Micros;
 
 /// Maximum length of a message between nodes: the limit of the node's core.
@@ -66,12 +66,12 @@
 #[derive(Debug)]
 pub enum Said {
     /// Connect to this member, and reconnect whenever the connection is lost.
-    Meet(usize),
+    Connect(usize),
     /// Stop connecting to this member, and close the connection if this node opened it.
-    Part(usize),
+    Disconnect(usize),
     /// Send this message to this member, or drop it.
-    Word(usize, Vec<u8>),
-    /// Store this batch and call [`Part::stored`].
+    Send(usize, Vec<u8>),
+    /// Store this batch and call [`FleetNode::stored`].
     Store(Batch),
     /// Answer the operator on this connection.
     Answer(u64, Value),
@@ -79,22 +79,22 @@
     Fence(Option<Micros>),
     /// Log this line; the flag marks a warning.
     Log(bool, String),
-    /// Put this version of the configuration in force atomically and call [`Part::configured`]. Number 0 with
-    /// an empty text stands for the settings of the node's file.
-    Configure {
+    /// Put this version of the configuration in force atomically and call [`FleetNode::version_applied`].
+    /// Number 0 with an empty text stands for the settings of the node's file.
+    ApplyConfiguration {
         /// The number of the version.
         number: u64,
         /// The text of the version.
         text: String,
     },
-    /// Durably replace the saved copy by these bytes and call [`Part::kept`].
-    Keep(Vec<u8>),
+    /// Durably replace the saved copy by these bytes and call [`FleetNode::kept`].
+    Persist(Vec<u8>),
     /// The version in force at the start is decided: calls may be accepted.
-    Settled,
+    Ready,
 }
 
 /// The fleet side of one node.
-pub struct Part {
+pub struct FleetNode {
     pub(crate) fleet: Fleet,
     /// The members by place, including removed ones.
     pub(crate) ids: Vec<MemberId>,
@@ -114,7 +114,7 @@
     check_outputs: Vec<consistency::Output>,
 }
 
-impl Part {
+impl FleetNode {
     /// Creates the part of a node. `start` increases with each start of the process, as Origin-State-Id does
     /// (RFC 6733 section 8.16). The seed determines the random choices.
     ///
@@ -123,12 +123,12 @@
     /// If two members have the same name or identifier, the node is not a member, or a duration is zero.
     pub fn new(
         settings: &Settings,
-        seat: Seat,
+        seat: VoterRole,
         start: u32,
         seed: u64,
-    ) -> Result<Part, lemoncleat_fleet::SettingsError> {
+    ) -> Result<FleetNode, lemoncleat_fleet::SettingsError> {
         let mut core =
-            lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Carrier::Connections);
+            lemoncleat_fleet::Settings::new(&settings.own, settings.members.clone(), Transport::Connections);
         core.max_message = MAX_MESSAGE_BYTES;
         core.timing = timing(settings.round);
         let fleet = Fleet::new(core, start, seed)?;
@@ -149,7 +149,7 @@
             actions
                 .push(Action::Log(true, format!("this voter does not vote, its store can't be used: {why}")));
         }
-        Ok(Part {
+        Ok(FleetNode {
             fleet,
             places: ids.iter().copied().enumerate().map(|(place, id)| (id, place)).collect(),
             names,
@@ -183,7 +183,7 @@
     }
 
     /// Does a piece of the background work, which takes a few milliseconds at most. It is to be called while
-    /// no call waits, and followed by [`Part::worked`] with the time spent.
+    /// no call waits, and followed by [`FleetNode::worked`] with the time spent.
     pub fn work(&mut self, now: Micros, out: &mut Vec<Said>) {
         if let Some(watch) = &mut self.rules_watch {
             watch.work(now, &mut self.check_outputs);
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Returns the latest time at which [`Part::timeout`] is due.
+    /// Returns the latest time at which [`FleetNode::timeout`] is due.
     pub fn wake(&self) -> Option<Micros> {
         let agreement = self.agreement.as_ref().and_then(Agreement::wake);
         let watch = self.rules_watch.as_ref().and_then(RulesWatch::wake);
@@ -257,7 +257,7 @@
     /// Handles a message of a member.
     pub fn heard(&mut self, now: Micros, place: usize, bytes: &[u8], out: &mut Vec<Said>) {
         let Some(from) = self.ids.get(place).copied() else { return };
-        self.fleet.handle(now, Input::Heard { from, bytes }, &mut self.outputs);
+        self.fleet.handle(now, Input::Received { from, bytes }, &mut self.outputs);
         self.process_outputs(now, out);
     }
 
@@ -308,9 +308,11 @@
             distribution::Output::Send { to, bytes } => {
                 self.actions.push(Action::Send(MemberId(to), PeerMessage::Configuration(bytes)));
             }
-            distribution::Output::Apply { number, text } => out.push(Said::Configure { number, text }),
-            distribution::Output::Persist(bytes) => out.push(Said::Keep(bytes)),
-            distribution::Output::Ready => out.push(Said::Settled),
+            distribution::Output::Apply { number, text } => {
+                out.push(Said::ApplyConfiguration { number, text })
+            }
+            distribution::Output::Persist(bytes) => out.push(Said::Persist(bytes)),
+            distribution::Output::Ready => out.push(Said::Ready),
             distribution::Output::Propose(command) => {
                 if let Some(agreement) = &mut self.agreement {
                     agreement.propose_configuration(now, command, &mut self.actions);
@@ -354,7 +356,7 @@
             consistency::Output::Publish(bytes) => {
                 self.fleet.handle(now, Input::Publish { kind: RULES_FACT, bytes }, &mut self.outputs);
             }
-            consistency::Output::Direct { to, bytes } => {
+            consistency::Output::SendMessage { to, bytes } => {
                 self.actions.push(Action::Send(MemberId(to), PeerMessage::Rules(bytes)));
             }
             consistency::Output::Fence(retry_after) => out.push(Said::Fence(retry_after)),
@@ -364,16 +366,16 @@
                 );
             }
             // Cases are run by the watch itself, and windows are not sealed yet.
-            consistency::Output::Cases | consistency::Output::Play { .. } => {}
+            consistency::Output::Cases | consistency::Output::PlayWindow { .. } => {}
         }
     }
 
     fn fleet_output(&mut self, now: Micros, output: Output, out: &mut Vec<Said>) {
         let place = |id: MemberId| self.places.get(&id).copied();
         match output {
-            Output::Tell { to, bytes } => out.extend(place(to).map(|place| Said::Word(place, bytes))),
-            Output::Meet(id) => out.extend(place(id).map(Said::Meet)),
-            Output::Part(id) => out.extend(place(id).map(Said::Part)),
+            Output::Send { to, bytes } => out.extend(place(to).map(|place| Said::Send(place, bytes))),
+            Output::Connect(id) => out.extend(place(id).map(Said::Connect)),
+            Output::Disconnect(id) => out.extend(place(id).map(Said::Disconnect)),
             Output::Direct { from, bytes } => {
                 match (self.fragmenter.reassemble(from, &bytes), &mut self.agreement, &mut self.rules_watch) {
                     (Some(PeerMessage::Configuration(bytes)), ..) => {
@@ -401,7 +403,7 @@
             Output::Fact(fact) if fact.kind == RULES_FACT => {
                 let incarnation = u64::from(lemoncleat_fleet::start_of(fact.incarnation));
                 let (from, age, bytes) = (fact.origin.0, fact.age, fact.bytes);
-                self.check_input(now, consistency::Input::Heard { from, incarnation, age, bytes });
+                self.check_input(now, consistency::Input::FactReceived { from, incarnation, age, bytes });
             }
             Output::Notice(notice) => out.push(self.describe_notice(notice)),
             // Facts are read on demand.
@@ -429,9 +431,13 @@
     fn describe_notice(&self, notice: Notice) -> Said {
         let text = match notice {
             Notice::Stranger(id) => format!("a word of a process that is no member: {id}"),
-            Notice::Impostor(id) => format!("{} sends messages in the name of another member", self.name(id)),
+            Notice::ForgedSender(id) => {
+                format!("{} sends messages in the name of another member", self.name(id))
+            }
             Notice::Unreadable(id) => format!("a word of {} can't be read", self.name(id)),
-            Notice::Jumped => "the fleet remembers a later start of this node: clock set back?".to_owned(),
+            Notice::IncarnationRaised => {
+                "the fleet remembers a later start of this node: clock set back?".to_owned()
+            }
             Notice::Paused(span) => format!("the process was paused for {:.1} s", span as f64 / 1e6),
             Notice::DirectDropped(id) => format!("words for {} were dropped", self.name(id)),
             Notice::FactDropped(id) => {
@@ -523,17 +529,23 @@
         self.distributor_input(now, distribution::Input::Loaded(kept), out);
     }
 
-    /// Handles the result of [`Said::Configure`].
-    pub fn configured(&mut self, now: Micros, number: u64, result: Result<(), String>, out: &mut Vec<Said>) {
+    /// Handles the result of [`Said::ApplyConfiguration`].
+    pub fn version_applied(
+        &mut self,
+        now: Micros,
+        number: u64,
+        result: Result<(), String>,
+        out: &mut Vec<Said>,
+    ) {
         self.distributor_input(now, distribution::Input::Applied { number, result }, out);
     }
 
-    /// Handles the result of [`Said::Keep`].
+    /// Handles the result of [`Said::Persist`].
     pub fn kept(&mut self, now: Micros, result: Result<(), String>, out: &mut Vec<Said>) {
         self.distributor_input(now, distribution::Input::Persisted(result), out);
     }
 
-    /// Takes the node's cumulative call counters since its start. To be called before [`Part::timeout`].
+    /// Takes the node's cumulative call counters since its start. To be called before [`FleetNode::timeout`].
     pub fn calls(&mut self, calls: Calls) {
         if let Some(configuration) = &mut self.configuration {
             configuration.calls = calls;
@@ -583,7 +595,7 @@
     Timing {
         round,
         answer: scaled(usual.answer),
-        suspect: scaled(usual.suspect),
+        suspicion_timeout: scaled(usual.suspicion_timeout),
         gossip: scaled(usual.gossip),
         sync: scaled(usual.sync),
         retry: scaled(usual.retry),
--- a/crates/lemoncleat-commons/src/seat.rs
+++ b/crates/lemoncleat-commons/src/seat.rs
@@ -10,8 +10,8 @@
 use lemoncleat_fleet::MemberId;
 use serde_json::{json, Value};
 
+use crate::fragments::PeerMessage;
 use crate::part::{name, Names};
-use crate::pieces::PeerMessage;
 use crate::state::{Command, State, LONGEST_ORDER, LONGEST_TEXT};
 use crate::Micros;
 
@@ -24,7 +24,7 @@
 
 /// The role of a node in the agreement.
 #[derive(Debug)]
-pub enum Seat {
+pub enum VoterRole {
     /// A voter, with the content of its store.
     Voter(Found),
     /// A voter whose store can't be used, with the reason. It only follows, and its calls go on.
@@ -96,7 +96,7 @@
         names: Names,
         own: MemberId,
         voters: Vec<MemberId>,
-        seat: Seat,
+        seat: VoterRole,
         tick: Micros,
         seed: u64,
     ) -> Agreement {
@@ -110,11 +110,11 @@
             snapshot_every: SNAPSHOT_INTERVAL,
         };
         let voter_or_error = match seat {
-            Seat::Voter(found) => {
+            VoterRole::Voter(found) => {
                 Voter::new(settings, found, seed).map_err(|error| error.to_string()).map(Some)
             }
-            Seat::Broken(why) => Err(why),
-            Seat::Follower => Ok(None),
+            VoterRole::Broken(why) => Err(why),
+            VoterRole::Follower => Ok(None),
         };
         let follower = || Core::Follower(Follower::new(voter_number(own), &numbers, timing, seed));
         let (core, store_error) = match voter_or_error {
@@ -176,7 +176,7 @@
     ) {
         match message {
             PeerMessage::Agreement(bytes) => {
-                self.input(now, Input::Heard { from: voter_number(from), bytes: &bytes }, out);
+                self.input(now, Input::Received { from: voter_number(from), bytes: &bytes }, out);
             }
             PeerMessage::Propose(command) => {
                 if matches!(self.core, Core::Voter(..)) {
@@ -278,14 +278,14 @@
     /// Makes a follower pull the log only after an operator's request, as in a fleet with a configuration.
     pub(crate) fn follow_on_demand(&mut self) {
         if let Core::Follower(follower) = &mut self.core {
-            follower.learn_until(0);
+            follower.poll_until(0);
         }
         self.on_demand = true;
     }
 
     fn follow_log(&mut self, now: Micros) {
         if let (Core::Follower(follower), true) = (&mut self.core, self.on_demand) {
-            follower.learn_until(now + ORDER_TIMEOUT_US);
+            follower.poll_until(now + ORDER_TIMEOUT_US);
         }
     }
 
@@ -337,7 +337,7 @@
 
     fn output(&mut self, output: Output, out: &mut Vec<Action>) -> Option<Input<'static>> {
         match output {
-            Output::Tell { to, bytes } => {
+            Output::Send { to, bytes } => {
                 out.extend(member_of(to).map(|to| Action::Send(to, PeerMessage::Agreement(bytes))));
             }
             Output::Store(batch) => out.push(Action::Store(batch)),
@@ -427,7 +427,7 @@
                 ),
             )
         }
-        Notice::StoreWorks => Action::Log(false, "the agreement's store works again".to_owned()),
+        Notice::StoreRecovered => Action::Log(false, "the agreement's store works again".to_owned()),
         Notice::Admitted => Action::Log(false, "admitted as a voter by all others".to_owned()),
         Notice::StoreLost { by } => {
             let by = member_of(*by).map_or_else(|| by.to_string(), |by| name(names, by));
--- a/crates/lemoncleat-fleet/src/fleet/views.rs
+++ b/crates/lemoncleat-fleet/src/fleet/sync.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use super::membership::MAX_FUTILE_SYNCS;
-use super::spread::VersionOrder;
+use super::update_store::VersionOrder;
 use super::{Fleet, Kind, Notice, Output, MAX_FACT_BYTES, MAX_INCARNATION};
 use crate::message::{append, Body, Key, Update, Version, WireIncarnation};
 use crate::plant::{self, Plant};
@@ -97,7 +97,7 @@
         self.store.set_incarnation(self.own, self.incarnation, &mut self.number);
         self.store.set_state(self.own, State::Alive, self.incarnation, self.own);
         self.next_gossip = Some(now);
-        self.notice(now, Notice::Jumped, out);
+        self.notice(now, Notice::IncarnationRaised, out);
     }
 
     /// Applies an update. Returns whether it changed anything.
--- a/crates/lemoncleat-node/benches/size.rs
+++ b/crates/lemoncleat-node/benches/size.rs
@@ -14,7 +14,7 @@
 
 use hdrhistogram::Histogram;
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, MemberNews, Outcome, Settings,
+    Action, Availability, Call, CallId, Class, Controller, Event, Outcome, ServerListUpdate, Settings,
 };
 use lemoncleat_diameter::dictionary as d;
 use lemoncleat_diameter::{MessageBuilder, MessageRef};
@@ -128,7 +128,7 @@
         let mut found = Vec::new();
         for output in std::mem::take(&mut self.out) {
             if let Output::Send(to, bytes) = output {
-                self.input(Input::Wrote(to, bytes.len()));
+                self.input(Input::Written(to, bytes.len()));
                 if to == conn {
                     found = bytes;
                 }
@@ -157,7 +157,7 @@
             _ => None,
         });
         let (conn, bytes) = attempt.expect("an attempt");
-        self.input(Input::Wrote(conn, bytes.len()));
+        self.input(Input::Written(conn, bytes.len()));
         let attempt = MessageRef::parse(&bytes).unwrap_or_else(|error| panic!("{error}"));
         let answer = MessageBuilder::answer(&attempt, 2001)
             .add_str(d::ORIGIN_HOST, "s.bench")
@@ -184,7 +184,7 @@
         let mut spent = self.timed(Input::Bytes(self.client, &request));
         for output in std::mem::take(&mut self.out) {
             let Output::Send(conn, bytes) = output else { continue };
-            self.input(Input::Wrote(conn, bytes.len()));
+            self.input(Input::Written(conn, bytes.len()));
             if let (true, Ok(request)) = (conn != self.client, MessageRef::parse(&bytes)) {
                 let answer = MessageBuilder::answer(&request, 2001).build();
                 spent += self.timed(Input::Bytes(conn, &answer));
@@ -258,7 +258,7 @@
     let mut timers = BTreeMap::new();
     module.handle(
         now,
-        Event::Members(MemberNews::Complete((0..servers).map(member).collect())),
+        Event::Members(ServerListUpdate::Complete((0..servers).map(member).collect())),
         &mut actions,
     );
     let mut histogram = Histogram::<u64>::new(3).expect("a histogram");
--- a/crates/lemoncleat-simulate/src/chain/run.rs
+++ b/crates/lemoncleat-simulate/src/chain/run.rs
@@ -4,13 +4,13 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 use lemoncleat::{
-    Action, Availability, Call, CallId, Class, Controller, Event, Member, MemberNews,
-    Outcome as AttemptOutcome, Reason, Report, ServerId, Settings, SettingsError,
+    Action, Availability, Call, CallId, Class, Controller, Event, Member, Outcome as AttemptOutcome, Reason,
+    Report, ServerId, ServerListUpdate, Settings, SettingsError,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::{Failing, Left, Outcome, Part, Plan, Span, UpwardAnswer};
+use super::{FailureMode, Left, Outcome, Part, Plan, Span, UpwardAnswer};
 use crate::Micros;
 
 /// Longest wait at a server; it refuses a set-up that would wait longer, at this share of a set-up's work.
@@ -157,7 +157,7 @@
             let mut level = Vec::new();
             for number in 0..plan.servers {
                 let mut controller = Controller::new(settings(number as u32), rng.random())?;
-                let news = MemberNews::Complete(list.clone());
+                let news = ServerListUpdate::Complete(list.clone());
                 controller.handle(0, Event::Members(news), &mut Vec::new());
                 level.push(Node { controller, saved_repeats: MAX_SAVED_REPEATS });
             }
@@ -473,7 +473,7 @@
             self.bottom[second] += 1;
         }
         let work = 1e6 / plan.capacity.max(1e-3);
-        let refuses = last && plan.how == Failing::Refusal && self.is_failing(server);
+        let refuses = last && plan.how == FailureMode::Refusal && self.is_failing(server);
         let busy = &mut self.busy[level][server];
         let begins = now.max(*busy);
         let wait = begins - now;
@@ -494,10 +494,10 @@
         let (root, level, server) = (state.root, state.level, state.server);
         let left = state.deadline - now;
         if level + 1 == plan.depth {
-            if plan.how == Failing::Refusal || !self.is_failing(server) {
+            if plan.how == FailureMode::Refusal || !self.is_failing(server) {
                 return self.server_answers(id, Answer::Ok);
             }
-            if plan.how == Failing::Error {
+            if plan.how == FailureMode::Error {
                 self.server_answers(id, Answer::Error);
             }
             return;
