--- a/crates/lemoncleat-node/src/rebuild.rs
+++ b/crates/lemoncleat-node/src/rebuild.rs
@@ -14,12 +14,23 @@
 use crate::Micros;
 
 /// Fields that are kept unchanged.
-const RETAINED_FIELDS: [&str; 11] =
-    ["servers", "past", "random", "ticking", "watched", "now", "due", "stall", "stalled", "calls", "waiting"];
+const RETAINED_FIELDS: [&str; 11] = [
+    "servers",
+    "past_rates",
+    "random",
+    "timer_set",
+    "subscribed",
+    "now",
+    "timer_due",
+    "stall",
+    "longest_stall",
+    "calls",
+    "waiting",
+];
 /// Fields whose values are taken from a newly created module.
-const DERIVED_FIELDS: [&str; 3] = ["longest", "pressed", "cheapest"];
+const DERIVED_FIELDS: [&str; 3] = ["longest_call_length", "pressed_wait", "lowest_worth"];
 /// Fields that are computed here from old and new state.
-const COMPUTED_FIELDS: [&str; 3] = ["settings", "rates", "usual"];
+const COMPUTED_FIELDS: [&str; 3] = ["settings", "rates", "typical_patience"];
 
 /// The input of a rebuild.
 pub(crate) struct SettingsChange<'a> {
@@ -101,7 +112,7 @@
     let mut calls: Vec<(u64, usize, Micros)> = Vec::new();
     for (id, pending) in map_entries(field(&mut fields, "calls")?, "calls")? {
         let pending = map_entries(pending, "calls")?;
-        let ends_at = integer(field(pending, "ends")?, "ends")?;
+        let ends_at = integer(field(pending, "patience_ends")?, "patience_ends")?;
         let class = integer(field(map_entries(field(pending, "call")?, "call")?, "class")?, "class")?;
         calls.push((integer(id, "calls")?, class, ends_at));
     }
@@ -147,19 +158,19 @@
         let new = settings.classes.get(class).map_or(0.0, |class| class.worth);
         *worth = Value::from((new * 1e6) as u64);
     }
-    let learned = std::mem::take(array_items(field(&mut fields, "usual")?, "usual")?);
-    let initial = array_items(field(&mut fresh_fields, "usual")?, "usual")?
+    let learned = std::mem::take(array_items(field(&mut fields, "typical_patience")?, "typical_patience")?);
+    let initial = array_items(field(&mut fresh_fields, "typical_patience")?, "typical_patience")?
         .first()
         .cloned()
-        .ok_or_else(|| unexpected_state("usual"))?;
+        .ok_or_else(|| unexpected_state("typical_patience"))?;
     let usual = names.iter().map(|name| {
         let index = change.from.iter().position(|from| from == name);
         index.and_then(|index| learned.get(index)).unwrap_or(&initial).clone()
     });
-    *field(&mut fields, "usual")? = Value::Array(usual.collect());
+    *field(&mut fields, "typical_patience")? = Value::Array(usual.collect());
     // The rates used to judge servers depend on these settings.
     if before.balancers != settings.balancers
-        || field(&mut fields, "longest")? != field(&mut fresh_fields, "longest")?
+        || field(&mut fields, "longest_call_length")? != field(&mut fresh_fields, "longest_call_length")?
     {
         *field(&mut fields, "rates")? = Value::Null;
     }
--- a/crates/lemoncleat-node/src/rebuild/tests.rs
+++ b/crates/lemoncleat-node/src/rebuild/tests.rs
@@ -202,13 +202,13 @@
     simulated.call(1);
     simulated.occupy_all_lines();
     let waiting = [simulated.call(0), simulated.call(1), simulated.call(2)];
-    let learned = field_of(&simulated.controller, "usual").into_array().expect("a list");
+    let learned = field_of(&simulated.controller, "typical_patience").into_array().expect("a list");
     let old = settings();
     let new = Settings { classes: [2, 1, 0].map(|at| old.classes[at].clone()).to_vec(), ..settings() };
     let rebuilt = rebuild(&simulated.controller, &change(&class_names(), &names(&["c", "b", "a"]), &new));
     let rebuilt = rebuilt.expect("good settings");
     assert_eq!(rebuilt.new_indexes, [Some(2), Some(1), Some(0)]);
-    let moved = field_of(&rebuilt.controller, "usual").into_array().expect("a list");
+    let moved = field_of(&rebuilt.controller, "typical_patience").into_array().expect("a list");
     assert_eq!(moved, [2, 1, 0].map(|at| learned[at].clone()));
     assert_eq!(
         field_of(&rebuilt.controller, "waiting"),
@@ -260,7 +260,7 @@
         .expect("good")
         .controller;
     let fresh = Controller::new(new, 0).expect("good");
-    for name in ["settings", "longest", "pressed", "cheapest"] {
+    for name in ["settings", "longest_call_length", "pressed_wait", "lowest_worth"] {
         assert_eq!(field_of(&rebuilt, name), field_of(&fresh, name), "{name}");
     }
     assert_eq!(field_of(&rebuilt, "rates"), Value::Null, "recomputed from the new settings");
@@ -281,7 +281,7 @@
     assert_eq!(rebuilt.new_indexes, [Some(0), Some(2), Some(1)]);
     assert_eq!(rebuilt.pending_until, Some(8_000 * MS), "the end of its caller's patience");
     let fresh = Controller::new(new.clone(), 0).expect("good");
-    for name in ["longest", "pressed", "cheapest"] {
+    for name in ["longest_call_length", "pressed_wait", "lowest_worth"] {
         assert_eq!(field_of(&rebuilt.controller, name), field_of(&fresh, name), "{name}");
     }
     simulated.controller = rebuilt.controller;
@@ -327,12 +327,12 @@
         [
             "call",
             "arrived",
-            "ends",
+            "patience_ends",
             "attempts",
-            "out",
-            "released",
+            "active_attempt",
+            "not_before",
             "may_have_run",
-            "withdrawn",
+            "cancelled",
             "used_before"
         ]
     );
